--- a/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/RunningDaemon.java
+++ b/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/RunningDaemon.java
@@ -31,7 +31,6 @@
 import org.orchidmount.internal.upstream.HttpEngineClient;
 import org.orchidmount.limits.LimitBook;
 import org.orchidmount.limits.RetryBudget;
-import org.orchidmount.limits.Shares;
 import org.orchidmount.routing.Policies;
 import org.orchidmount.settings.Settings;
 import org.orchidmount.upstream.EngineClient;
@@ -132,7 +131,7 @@
         Blackboard board = new Blackboard(clock, mSettings.zone());
         mTable.addListener(board::applyTable);
         board.applyTable(mTable.current());
-        LimitBook limits = new LimitBook(Shares.whole());
+        LimitBook limits = new LimitBook();
         Admission admission =
                 new Admission(
                         board,
--- a/org.orchidmount.junit/src/main/java/org/orchidmount/junit/ClusterPlan.java
+++ b/org.orchidmount.junit/src/main/java/org/orchidmount/junit/ClusterPlan.java
@@ -59,16 +59,6 @@
         return new ClusterPlan(entries, prefill, decode, plain, policy, true, engines, settings);
     }
 
-    /**
-     * Returns this plan with another policy.
-     *
-     * @param name the policy's name
-     * @return the changed copy
-     */
-    public ClusterPlan withPolicy(String name) {
-        return new ClusterPlan(entries, prefill, decode, plain, name, proxied, engines, settings);
-    }
-
     /**
      * Returns this plan with other engines.
      *
--- a/org.orchidmount.test/src/test/java/org/orchidmount/blackboard/BlackboardTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/blackboard/BlackboardTest.java
@@ -86,7 +86,7 @@
     }
 
     private static Decision place() {
-        return new Decision.Place("p-1", "d-1", 64, 5);
+        return new Decision.Place("p-1", "d-1", 64);
     }
 
     private Reservation placeOne() {
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/VoterNodeTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/VoterNodeTest.java
@@ -275,7 +275,7 @@
 
     private static RouteTable parse(byte[] document) {
         long version = Long.parseLong(new String(document, StandardCharsets.UTF_8));
-        CallerLimits limits = new CallerLimits(1, 1, Duration.ofSeconds(1), Duration.ofSeconds(1));
+        CallerLimits limits = new CallerLimits(1, Duration.ofSeconds(1));
         return new RouteTable(version, List.of(), Map.of(), limits);
     }
 }
--- a/org.orchidmount.test/src/test/java/org/orchidmount/limits/LimitBookTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/limits/LimitBookTest.java
@@ -16,13 +16,13 @@
 import org.orchidmount.limits.LimitBook.Limit;
 import org.orchidmount.table.AccountRow;
 
-/** Tests {@link LimitBook}, {@link Shares} and {@link RetryBudget}. */
+/** Tests {@link LimitBook} and {@link RetryBudget}. */
 class LimitBookTest {
     private static final long SECOND = 1_000_000_000L;
 
     @Test
     void holdsAllLimitsOrNone() {
-        LimitBook book = new LimitBook(Shares.whole());
+        LimitBook book = new LimitBook();
         List<Limit> both = List.of(new Limit("account a", 2), new Limit("pool p", 1));
         assertThat(book.tryHold(both)).isEmpty();
         assertThat(book.tryHold(both)).isEqualTo(Optional.of(new Limit("pool p", 1)));
@@ -31,16 +31,9 @@
         assertThat(book.all()).isEmpty();
     }
 
-    @ParameterizedTest
-    @CsvSource({"8, 8, 1", "8, 9, 2", "8, 1, 1", "1, 5, 5"})
-    void sharesOfAllInstancesPassTheLimitByLessThanOneEach(int instances, int limit, int share) {
-        assertThat(Shares.even(instances).share("x", limit)).isEqualTo(share);
-        assertThat(share * instances).isLessThan(limit + instances);
-    }
-
     @Test
     void rateAllowsOneSecondAtOnceAndTellsWhenToComeBack() {
-        LimitBook book = new LimitBook(Shares.whole());
+        LimitBook book = new LimitBook();
         AccountRow account = new AccountRow("a", "0".repeat(64), "c", 1, 0, 4);
         for (int i = 0; i < 4; i++) {
             assertThat(book.takeRate(account, 0)).isEqualTo(0);
--- a/org.orchidmount.test/src/test/java/org/orchidmount/routes/RouteTableTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/routes/RouteTableTest.java
@@ -17,7 +17,7 @@
 /** Tests {@code RouteTable}. */
 final class RouteTableTest {
     private static final CallerLimits LIMITS =
-            new CallerLimits(1, 1, Duration.ofSeconds(1), Duration.ofSeconds(1));
+            new CallerLimits(1, Duration.ofSeconds(1));
 
     @Test
     void longestPrefixOfTheHostWins() {
@@ -65,7 +65,7 @@
 
     private static RouteTable table(Route... routes) {
         return new RouteTable(
-                1, List.of(routes), Map.of("s", new Service("s", 1, Optional.empty())), LIMITS);
+                1, List.of(routes), Map.of("s", new Service("s", Optional.empty())), LIMITS);
     }
 
     private static Route route(String name, String prefix, int weight, long timeoutMillis) {
--- a/org.orchidmount/src/main/java/org/orchidmount/limits/LimitBook.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/limits/LimitBook.java
@@ -24,21 +24,12 @@
     private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
     private final OrderedLock mLock = new OrderedLock(LockRank.LIMITS);
-    private final Shares mShares;
     private final Map<String, Integer> mRunning = new HashMap<>();
     private final Map<String, Bucket> mBuckets = new HashMap<>();
 
     /**
-     * Creates an empty book.
-     *
-     * @param shares this instance's parts of the limits
-     */
-    public LimitBook(Shares shares) {
-        mShares = shares;
-    }
-
-    /**
-     * Takes one request from an account's rate. Up to one second's worth may come at once.
+     * Takes one request from an account's rate at this instance. Up to one second's worth may come
+     * at once.
      *
      * @param account the account
      * @param nowNanos the monotonic time
@@ -48,7 +39,7 @@
         if (account.requestsPerSecond() == 0) {
             return 0;
         }
-        int rate = mShares.share("account " + account.name(), account.requestsPerSecond());
+        int rate = account.requestsPerSecond();
         try (OrderedLock.Held _ = mLock.hold()) {
             Bucket old = mBuckets.get(account.name());
             double tokens =
@@ -75,7 +66,7 @@
             for (Limit limit : limits) {
                 boolean limited = limit.most() > 0;
                 int running = mRunning.getOrDefault(limit.key(), 0);
-                if (limited && running >= mShares.share(limit.key(), limit.most())) {
+                if (limited && running >= limit.most()) {
                     return Optional.of(limit);
                 }
             }
@@ -127,7 +118,7 @@
      * A limit on running requests. Immutable.
      *
      * @param key what is limited, for example "pool sm-decode"
-     * @param most the most requests in the fleet, 0 for no limit
+     * @param most the most requests at this instance, 0 for no limit
      */
     public record Limit(String key, int most) {}
 
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Lease.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Lease.java
@@ -44,10 +44,6 @@
         return mPeer;
     }
 
-    double workMillis() {
-        return mWorkMillis;
-    }
-
     /** Returns after what time an upstream of ordinary speed would have done the work. */
     double doneMillis() {
         return mDoneMillis;
--- a/org.orchidmount/src/main/java/org/orchidmount/routes/CallerLimits.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routes/CallerLimits.java
@@ -10,10 +10,7 @@
 /**
  * What callers may send.
  *
- * @param maxHeaderBytes the largest head of a request
  * @param maxBodyBytes the largest body
- * @param headerTimeout the longest time for a head
- * @param idleTimeout how long a connection may rest
+ * @param idleTimeout how long a body may pause
  */
-public record CallerLimits(
-        int maxHeaderBytes, long maxBodyBytes, Duration headerTimeout, Duration idleTimeout) {}
+public record CallerLimits(long maxBodyBytes, Duration idleTimeout) {}
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/Decision.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/Decision.java
@@ -13,10 +13,8 @@
      * @param prefill the prefill engine
      * @param decode the decode engine
      * @param cachedTokens the prompt tokens expected in the prefill engine's cache
-     * @param predictedMillis the predicted time from arrival to first token
      */
-    record Place(String prefill, String decode, int cachedTokens, long predictedMillis)
-            implements Decision {}
+    record Place(String prefill, String decode, int cachedTokens) implements Decision {}
 
     /**
      * The request waits for room.
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/JointPolicy.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/JointPolicy.java
@@ -67,8 +67,7 @@
         return new Decision.Place(
                 prefill.candidate().upstream().name(),
                 decode.candidate().upstream().name(),
-                prefill.candidate().cachedTokens(),
-                predicted);
+                prefill.candidate().cachedTokens());
     }
 
     private static Decision waitOrRefuse(
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/LeastLoadPolicy.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/LeastLoadPolicy.java
@@ -34,7 +34,7 @@
             return new Decision.Wait(Decision.WaitReason.NO_DECODE);
         }
         return new Decision.Place(
-                prefill.get().upstream().name(), decode.get().upstream().name(), 0, 0);
+                prefill.get().upstream().name(), decode.get().upstream().name(), 0);
     }
 
     private static Optional<Candidate> least(List<Candidate> candidates, RandomGenerator random) {
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/RoundRobinPolicy.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/RoundRobinPolicy.java
@@ -32,7 +32,7 @@
         }
         Candidate first = prefill.get((int) (input.turn() % prefill.size()));
         Candidate second = decode.get((int) (input.turn() % decode.size()));
-        return new Decision.Place(first.upstream().name(), second.upstream().name(), 0, 0);
+        return new Decision.Place(first.upstream().name(), second.upstream().name(), 0);
     }
 
     private static List<Candidate> available(List<Candidate> candidates) {
