--- a/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/CompletionRun.java
+++ b/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/CompletionRun.java
@@ -74,7 +74,7 @@
 
     /** Serves the request to its end. */
     void run() throws IOException, TimeoutException, InterruptedException {
-        mParts.retries().earn();
+        mParts.retries().countRequest();
         while (true) {
             Ticket ticket = ticket();
             switch (await(ticket)) {
@@ -152,7 +152,7 @@
      * it up would waste all its work, and there are no more such answers than were in progress.
      */
     private boolean mayRetry() {
-        return mDelivered > 0 || mParts.retries().take();
+        return mDelivered > 0 || mParts.retries().tryTake();
     }
 
     private Failure serve(Reservation reservation) throws InterruptedException {
--- a/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/PlainForwarder.java
+++ b/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/PlainForwarder.java
@@ -132,7 +132,7 @@
             mayHaveRun |= last.mayHaveRun();
             failed.add(peer.name());
             boolean resendable = held || !last.mayHaveRun();
-            if (!resendable || !mParts.retries().take()) {
+            if (!resendable || !mParts.retries().tryTake()) {
                 break;
             }
         }
--- a/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/PlainHandler.java
+++ b/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/PlainHandler.java
@@ -73,7 +73,7 @@
         try {
             if (route.repeatable()) {
                 exchange.onGone(() -> cancel.cancel(CancelSignal.Reason.CALLER_GONE));
-                mParts.retries().earn();
+                mParts.retries().countRequest();
                 mForwarder.forward(exchange, id, route, cancel);
             } else {
                 callOnce(exchange, id, identity, route);
--- a/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/RunningDaemon.java
+++ b/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/RunningDaemon.java
@@ -30,7 +30,7 @@
 import org.orchidmount.internal.table.FileTableStore;
 import org.orchidmount.internal.upstream.HttpEngineClient;
 import org.orchidmount.limits.LimitBook;
-import org.orchidmount.limits.RetryBudget;
+import org.orchidmount.limits.TokenBucketRetryBudget;
 import org.orchidmount.routing.Policies;
 import org.orchidmount.settings.Settings;
 import org.orchidmount.upstream.EngineClient;
@@ -149,7 +149,7 @@
                 board,
                 new RequestBoard(),
                 limits,
-                new RetryBudget(upstreams.retryPercent()),
+                new TokenBucketRetryBudget(upstreams.retryPercent()),
                 admission,
                 engines,
                 connections,
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/ClusterCodecTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/ClusterCodecTest.java
@@ -18,7 +18,7 @@
 import org.orchidmount.consensus.GroupState;
 import org.orchidmount.consensus.Member;
 import org.orchidmount.consensus.ReplicaMessage;
-import org.orchidmount.load.EngineRun;
+import org.orchidmount.load.InFlightSequence;
 import org.orchidmount.membership.Registration;
 
 /** Tests {@code ClusterCodec}. */
@@ -49,8 +49,8 @@
                                         Registration.State.DRAINING,
                                         7))),
                 new ClusterMessage.RegistrationsHeld(3),
-                new ClusterMessage.EngineRuns(
-                        List.of(new EngineRun("i-1", "r-1", 5, 70, 99, 12, true))),
+                new ClusterMessage.InFlightSequences(
+                        List.of(new InFlightSequence("i-1", "r-1", 5, 70, 99, 12, true))),
                 replication(new ReplicaMessage.VoteRequest(5, "a/first", ENTRY, true)),
                 replication(new ReplicaMessage.VoteReply(5, "a/first", true, false)),
                 replication(new ReplicaMessage.Append(5, A, ENTRY, STATE, ENTRY, 8)),
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/ControlPinTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/ControlPinTest.java
@@ -26,6 +26,7 @@
 import org.orchidmount.membership.Registration;
 import org.orchidmount.membership.Registration.Stage;
 import org.orchidmount.membership.Registration.State;
+import org.orchidmount.routing.EngineStagePlan;
 
 /** Frames, stored state and orders to engines stay as they were. */
 final class ControlPinTest {
@@ -97,7 +98,7 @@
 
     private static String plan(double share, int engines, int prefill) {
         String change =
-                new StagePlan(share)
+                new EngineStagePlan(share)
                         .next(engines(engines, prefill))
                         .map(due -> due.engine().id() + " to " + due.stage())
                         .orElse("none");
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/VoterNodeTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/VoterNodeTest.java
@@ -33,7 +33,7 @@
 import org.orchidmount.clock.SystemMonotonicClock;
 import org.orchidmount.consensus.Timing;
 import org.orchidmount.junit.Await;
-import org.orchidmount.load.EngineRun;
+import org.orchidmount.load.InFlightSequence;
 import org.orchidmount.membership.Registration;
 import org.orchidmount.routes.CallerLimits;
 import org.orchidmount.routes.RouteTable;
@@ -47,7 +47,7 @@
     private final List<HostPort> mAddresses = new ArrayList<>();
     private final List<VoterNode> mVoters = new ArrayList<>();
     private final Map<String, Registration> mSeen = new ConcurrentHashMap<>();
-    private final Queue<EngineRun> mTold = new ConcurrentLinkedQueue<>();
+    private final Queue<InFlightSequence> mAnnounced = new ConcurrentLinkedQueue<>();
     private EntryNode mEntry;
 
     @BeforeEach
@@ -60,28 +60,28 @@
         for (int i = 0; i < VOTERS; i++) {
             mVoters.add(voter(i, true));
         }
-        mEntry = entry("entry", mTold);
+        mEntry = entry("entry", mAnnounced);
     }
 
-    private EntryNode entry(String name, Collection<EngineRun> told) {
+    private EntryNode entry(String name, Collection<InFlightSequence> announced) {
         return new EntryNode(
                 name,
                 List.of(mAddresses.getFirst()),
                 VoterNodeTest::parse,
-                new Listener(mSeen, told),
+                new Listener(mSeen, announced),
                 new SystemMonotonicClock());
     }
 
-    private record Listener(Map<String, Registration> seen, Collection<EngineRun> told)
+    private record Listener(Map<String, Registration> seen, Collection<InFlightSequence> announced)
             implements EntryNode.Listener {
         @Override
-        public void changed(Registration registration) {
+        public void onRegistration(Registration registration) {
             seen.put(registration.id(), registration);
         }
 
         @Override
-        public void told(EngineRun run) {
-            told.add(run);
+        public void onSequence(InFlightSequence sequence) {
+            announced.add(sequence);
         }
     }
 
@@ -106,15 +106,19 @@
     void whatOneEntryGivesToAnEngineIsToldToTheOthers() {
         put(1);
         Await.until("table in force", LONGEST, () -> versionInForce() == 1);
-        EngineRun run = new EngineRun("i-1", "r-1", 5_000, 4_000, 10_000, 0, false);
+        InFlightSequence sequence =
+                new InFlightSequence("i-1", "r-1", 5_000, 4_000, 10_000, 0, false);
         try (EntryNode other = entry("other", new ConcurrentLinkedQueue<>())) {
             Await.until("table in force", LONGEST, () -> other.table().isPresent());
-            other.begin(run, () -> 700);
-            Await.until("told again", LONGEST, () -> mTold.contains(run.withMade(700)));
-            other.end(run.end());
-            Await.until("told its end", LONGEST, () -> mTold.contains(run.end()));
+            other.begin(sequence, () -> 700);
+            Await.until(
+                    "told again", LONGEST, () -> mAnnounced.contains(sequence.withGenerated(700)));
+            other.end(sequence.asEnded());
+            Await.until("told its end", LONGEST, () -> mAnnounced.contains(sequence.asEnded()));
         }
-        assertThat(mTold).containsAtLeast(run, run.withMade(700), run.end()).inOrder();
+        assertThat(mAnnounced)
+                .containsAtLeast(sequence, sequence.withGenerated(700), sequence.asEnded())
+                .inOrder();
     }
 
     @Test
--- a/org.orchidmount.test/src/test/java/org/orchidmount/limits/LimitBookTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/limits/LimitBookTest.java
@@ -16,7 +16,7 @@
 import org.orchidmount.limits.LimitBook.Limit;
 import org.orchidmount.table.AccountRow;
 
-/** Tests {@link LimitBook} and {@link RetryBudget}. */
+/** Tests {@link LimitBook} and {@link TokenBucketRetryBudget}. */
 class LimitBookTest {
     private static final long SECOND = 1_000_000_000L;
 
@@ -47,14 +47,14 @@
     @ParameterizedTest
     @CsvSource({"0, 0", "10, 74", "100, 164"})
     void retriesAreBoundedByRequests(int percent, int expected) {
-        RetryBudget budget = new RetryBudget(percent);
+        TokenBucketRetryBudget budget = new TokenBucketRetryBudget(percent);
         int retries = 0;
         for (int i = 0; i < 100; i++) {
-            budget.earn();
-            retries += budget.take() ? 1 : 0;
+            budget.countRequest();
+            retries += budget.tryTake() ? 1 : 0;
         }
         for (int i = 0; i < 100; i++) {
-            retries += budget.take() ? 1 : 0;
+            retries += budget.tryTake() ? 1 : 0;
         }
         assertThat(retries).isIn(Range.closed(expected * 9 / 10, expected));
     }
--- a/org.orchidmount.test/src/test/java/org/orchidmount/relay/ExtraAttemptsTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/limits/WindowRetryBudgetTest.java
@@ -3,18 +3,23 @@
  *
  * SPDX-License-Identifier: Apache-2.0
  */
-package org.orchidmount.relay;
+package org.orchidmount.limits;
 
 import static com.google.common.truth.Truth.assertThat;
 
 import java.time.Duration;
+import java.util.HashMap;
+import java.util.Map;
 import org.junit.jupiter.api.Test;
+import org.orchidmount.junit.ManualClock;
 
-/** Tests {@code ExtraAttempts}. */
-final class ExtraAttemptsTest {
+/** Tests {@link WindowRetryBudget}. */
+final class WindowRetryBudgetTest {
     private static final long SECOND = 1_000_000_000L;
-    private final ExtraAttempts mExtras =
-            new ExtraAttempts(new Relay.RetryLimit(0.2, Duration.ofSeconds(10), 40));
+
+    private final Map<String, WindowRetryBudget> mBudgets = new HashMap<>();
+    private final ManualClock mClock = new ManualClock();
+    private int mInstances;
 
     @Test
     void slackIsDividedOverInstances() {
@@ -24,8 +29,9 @@
 
     @Test
     void requestsEarnTheirShare() {
+        mClock.advance(Duration.ofSeconds(1));
         for (int i = 0; i < 100; i++) {
-            mExtras.request("s", SECOND);
+            budget("s").countRequest();
         }
         assertThat(takeAll("s", 10, SECOND)).isEqualTo(18);
     }
@@ -40,11 +46,20 @@
         assertThat(takeAll("s", 1, 25 * SECOND)).isEqualTo(30);
     }
 
-    private int takeAll(String service, int entries, long nowNanos) {
+    private int takeAll(String service, int instances, long nowNanos) {
+        mInstances = instances;
+        mClock.advance(Duration.ofNanos(nowNanos - mClock.nanoTime()));
         int taken = 0;
-        while (mExtras.take(service, entries, nowNanos)) {
+        while (budget(service).tryTake()) {
             taken++;
         }
         return taken;
     }
+
+    private WindowRetryBudget budget(String service) {
+        WindowRetryBudget.Limit limit =
+                new WindowRetryBudget.Limit(0.2, Duration.ofSeconds(10), 40);
+        return mBudgets.computeIfAbsent(
+                service, name -> new WindowRetryBudget(limit, () -> mInstances, mClock));
+    }
 }
--- a/org.orchidmount.test/src/test/java/org/orchidmount/load/EngineLoadsTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/load/EngineLoadsTest.java
@@ -14,6 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.orchidmount.junit.ManualClock;
+import org.orchidmount.routing.MemoryForecast;
 
 /** Tests {@code EngineLoads} and {@code MemoryForecast}. */
 final class EngineLoadsTest {
@@ -41,7 +42,7 @@
     void anEndedRunMakesRoomAgain() {
         int admitted = admitted(Duration.ZERO);
         assertThat(isCrowded("i-1")).isTrue();
-        mLoads.apply(run("i-1", "r-0").end());
+        mLoads.update(run("i-1", "r-0").asEnded());
         assertThat(isCrowded("i-1")).isFalse();
         assertThat(admitted).isAtLeast(1);
     }
@@ -56,7 +57,7 @@
     void aRunThatIsNotToldOfAgainIsForgotten() {
         admitted(Duration.ZERO);
         mClock.advance(Duration.ofSeconds(4));
-        mLoads.apply(run("i-1", "r-0").withMade(4_000));
+        mLoads.update(run("i-1", "r-0").withGenerated(4_000));
         mClock.advance(Duration.ofSeconds(4));
         assertThat(isCrowded("i-1")).isFalse();
     }
@@ -64,22 +65,22 @@
     @Test
     void aSlowEngineKeepsItsRunsInSight() {
         admitted(Duration.ZERO);
-        double before = mLoads.heldTokens("i-1");
+        double before = mLoads.usedMemoryTokens("i-1");
         mClock.advance(Duration.ofSeconds(2));
-        mLoads.apply(run("i-1", "r-0").withMade(100));
-        mLoads.apply(run("i-1", "r-0"));
-        assertThat(mLoads.heldTokens("i-1")).isGreaterThan(before);
-        double others = mLoads.heldTokens("i-1");
-        mLoads.apply(run("i-1", "r-0").end());
-        assertThat(others - mLoads.heldTokens("i-1")).isWithin(1).of(PROMPT + 100);
+        mLoads.update(run("i-1", "r-0").withGenerated(100));
+        mLoads.update(run("i-1", "r-0"));
+        assertThat(mLoads.usedMemoryTokens("i-1")).isGreaterThan(before);
+        double others = mLoads.usedMemoryTokens("i-1");
+        mLoads.update(run("i-1", "r-0").asEnded());
+        assertThat(others - mLoads.usedMemoryTokens("i-1")).isWithin(1).of(PROMPT + 100);
     }
 
     @Test
     void lateNewsDoesNotBringBackAnEndedRun() {
         int admitted = admitted(Duration.ZERO);
         for (int i = 0; i < admitted; i++) {
-            mLoads.apply(run("i-1", "r-" + i).end());
-            mLoads.apply(run("i-1", "r-" + i));
+            mLoads.update(run("i-1", "r-" + i).asEnded());
+            mLoads.update(run("i-1", "r-" + i));
         }
         assertThat(isCrowded("i-1")).isFalse();
     }
@@ -88,11 +89,11 @@
     void ofRunsThatWerePlacedTogetherAsManyStayAsTheEngineBears() {
         int most = admitted(Duration.ZERO);
         for (int i = most; i < most + 3; i++) {
-            mLoads.apply(run("i-1", "r-" + i));
+            mLoads.update(run("i-1", "r-" + i));
         }
         long borne = 0;
         for (int i = 0; i < most + 3; i++) {
-            borne += mLoads.bears(run("i-1", "r-" + i), MEMORY) ? 1 : 0;
+            borne += mLoads.keepsPlace(run("i-1", "r-" + i), MEMORY) ? 1 : 0;
         }
         assertThat(borne).isEqualTo(most);
     }
@@ -101,16 +102,16 @@
     void aRunThatBeganLaterGivesWay() {
         admitted(Duration.ZERO);
         mClock.advance(Duration.ofMillis(200));
-        mLoads.apply(run("i-1", "a-later"));
-        assertThat(mLoads.bears(run("i-1", "a-later"), MEMORY)).isFalse();
-        assertThat(mLoads.bears(run("i-1", "r-0"), MEMORY)).isTrue();
+        mLoads.update(run("i-1", "a-later"));
+        assertThat(mLoads.keepsPlace(run("i-1", "a-later"), MEMORY)).isFalse();
+        assertThat(mLoads.keepsPlace(run("i-1", "r-0"), MEMORY)).isTrue();
     }
 
     @ParameterizedTest
     @CsvSource({"1000, 1.0", "2500, 1.0", "4000, 1.0", "7000, 1.0"})
     void aRunNeverTakesMoreThanItCan(int made, double speed) {
-        List<MemoryForecast.Run> one =
-                List.of(new MemoryForecast.Run(PROMPT, made, EXPECTED, MOST));
+        List<MemoryForecast.Sequence> one =
+                List.of(new MemoryForecast.Sequence(PROMPT, made, EXPECTED, MOST));
         double peak = MemoryForecast.peakTokens(one, speed);
         assertThat(peak).isAtLeast((double) PROMPT + made);
         assertThat(peak).isLessThan(1.6 * (PROMPT + MOST));
@@ -118,10 +119,10 @@
 
     /** Lets runs begin one after another until the engine is full; returns how many it took. */
     private int admitted(Duration apart) {
-        List<EngineRun> admitted = new ArrayList<>();
+        List<InFlightSequence> admitted = new ArrayList<>();
         while (!isCrowded("i-1") && admitted.size() < 100) {
-            EngineRun run = run("i-1", "r-" + admitted.size());
-            mLoads.apply(run);
+            InFlightSequence run = run("i-1", "r-" + admitted.size());
+            mLoads.update(run);
             admitted.add(run);
             mClock.advance(apart);
         }
@@ -129,10 +130,10 @@
     }
 
     private boolean isCrowded(String upstreamId) {
-        return mLoads.crowded(run("", "candidate"), MEMORY).contains(upstreamId);
+        return mLoads.saturatedEngines(run("", "candidate"), MEMORY).contains(upstreamId);
     }
 
-    private static EngineRun run(String upstreamId, String requestId) {
-        return new EngineRun(upstreamId, requestId, PROMPT, EXPECTED, MOST, 0, false);
+    private static InFlightSequence run(String upstreamId, String requestId) {
+        return new InFlightSequence(upstreamId, requestId, PROMPT, EXPECTED, MOST, 0, false);
     }
 }
--- a/org.orchidmount.test/src/test/java/org/orchidmount/load/EngineMemoryPinTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/load/EngineMemoryPinTest.java
@@ -14,6 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.orchidmount.junit.ManualClock;
 import org.orchidmount.junit.Pin;
+import org.orchidmount.routing.MemoryForecast;
 
 /** What is known of the memory of engines, and what follows, stays as it was. */
 final class EngineMemoryPinTest {
@@ -26,7 +27,7 @@
     void engineLoadsDecideAsTheyDid() {
         List<String> lines = new ArrayList<>();
         SplittableRandom random = new SplittableRandom(11);
-        List<EngineRun> begun = new ArrayList<>();
+        List<InFlightSequence> begun = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
             mClock.advance(Duration.ofMillis(random.nextInt(120)));
             lines.add(i + ": " + step(random, begun, i));
@@ -34,25 +35,25 @@
         Pin.check("engine-loads.txt", lines);
     }
 
-    private String step(SplittableRandom random, List<EngineRun> begun, int number) {
+    private String step(SplittableRandom random, List<InFlightSequence> begun, int number) {
         int kind = random.nextInt(10);
         if (kind < 5 || begun.isEmpty()) {
-            EngineRun run = run(random, number);
-            mLoads.apply(run);
+            InFlightSequence run = run(random, number);
+            mLoads.update(run);
             begun.add(run);
         } else if (kind < 7) {
-            mLoads.apply(begun.remove(random.nextInt(begun.size())).end());
+            mLoads.update(begun.remove(random.nextInt(begun.size())).asEnded());
         } else if (kind < 9) {
-            EngineRun run = begun.get(random.nextInt(begun.size()));
-            mLoads.apply(run.withMade(random.nextInt(3_000)));
+            InFlightSequence run = begun.get(random.nextInt(begun.size()));
+            mLoads.update(run.withGenerated(random.nextInt(3_000)));
         } else {
-            mLoads.observeSpeed(0.5 + random.nextDouble());
+            mLoads.observeRate(0.5 + random.nextDouble());
         }
-        EngineRun newest = begun.isEmpty() ? run(random, number) : begun.getLast();
+        InFlightSequence newest = begun.isEmpty() ? run(random, number) : begun.getLast();
         return "crowded %s, newest borne %s, %s"
                 .formatted(
-                        new TreeSet<>(mLoads.crowded(run(random, -1), SIZE)),
-                        mLoads.bears(newest, SIZE),
+                        new TreeSet<>(mLoads.saturatedEngines(run(random, -1), SIZE)),
+                        mLoads.keepsPlace(newest, SIZE),
                         engines());
     }
 
@@ -65,21 +66,22 @@
                             Locale.ROOT,
                             "%s %.3f/%d ",
                             id,
-                            mLoads.heldTokens(id),
-                            mLoads.queuedTokens(id)));
+                            mLoads.usedMemoryTokens(id),
+                            mLoads.prefillBacklogTokens(id)));
         }
         return text.toString().strip();
     }
 
-    private static EngineRun run(SplittableRandom random, int number) {
+    private static InFlightSequence run(SplittableRandom random, int number) {
         int prompt = 200 + random.nextInt(9_000);
         if (random.nextInt(4) == 0) {
-            return EngineRun.reading("p-" + number, prompt).at("e-" + random.nextInt(3), 1);
+            return InFlightSequence.ofPrefill("p-" + number, prompt)
+                    .placedAt("e-" + random.nextInt(3), 1);
         }
         int expected = 50 + random.nextInt(5_000);
         int most = expected + random.nextInt(6_000);
         String engine = "e-" + random.nextInt(3);
-        return new EngineRun(engine, "r-" + number, prompt, expected, most, 0, false);
+        return new InFlightSequence(engine, "r-" + number, prompt, expected, most, 0, false);
     }
 
     @Test
@@ -87,12 +89,12 @@
         List<String> lines = new ArrayList<>();
         SplittableRandom random = new SplittableRandom(12);
         for (int i = 0; i < 120; i++) {
-            List<MemoryForecast.Run> runs = new ArrayList<>();
+            List<MemoryForecast.Sequence> runs = new ArrayList<>();
             for (int count = random.nextInt(12); count >= 0; count--) {
                 double expected = 20 + random.nextInt(5_000);
                 double most = expected * (1 + random.nextDouble());
                 runs.add(
-                        new MemoryForecast.Run(
+                        new MemoryForecast.Sequence(
                                 random.nextInt(9_000),
                                 random.nextDouble() * most * 1.1,
                                 expected,
--- a/org.orchidmount.test/src/test/java/org/orchidmount/relay/RelayRulesPinTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/relay/RelayRulesPinTest.java
@@ -10,14 +10,21 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Optional;
+import java.util.OptionalDouble;
 import java.util.Set;
 import java.util.SplittableRandom;
+import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 import org.orchidmount.junit.ManualClock;
 import org.orchidmount.junit.Pin;
+import org.orchidmount.limits.WindowRetryBudget;
 import org.orchidmount.membership.Registration;
 import org.orchidmount.membership.Registration.Stage;
 import org.orchidmount.membership.Registration.State;
+import org.orchidmount.routing.ClientRetryDetector;
+import org.orchidmount.routing.MemoryWaitRule;
+import org.orchidmount.routing.OutputLengthEstimator;
+import org.orchidmount.routing.PrefillRule;
 
 /** The rules by which the relay decides give what they gave. */
 final class RelayRulesPinTest {
@@ -33,30 +40,31 @@
     /** Plays a random sequence of calls, and records each choice and each estimate. */
     private static List<String> choices(Stage stage) {
         ManualClock clock = new ManualClock();
-        UpstreamBook book = new UpstreamBook("zone-0", clock, new SplittableRandom(3));
+        UpstreamDirectory directory =
+                new UpstreamDirectory("zone-0", clock, new SplittableRandom(3));
         for (int i = 0; i < 5; i++) {
-            book.apply(registration(i, stage));
+            directory.update(registration(i, stage));
         }
         SplittableRandom random = new SplittableRandom(21);
-        List<Lease> held = new ArrayList<>();
+        List<Assignment> held = new ArrayList<>();
         List<String> lines = new ArrayList<>();
         for (int i = 0; i < 500; i++) {
             clock.advance(Duration.ofMillis(random.nextInt(90)));
             double work = 20 + random.nextInt(150);
             Set<String> avoided = random.nextInt(4) == 0 ? Set.of("u-0", "u-1") : Set.of();
             Set<String> excluded = random.nextInt(5) == 0 ? Set.of("u-2") : Set.of();
-            UpstreamBook.Queue queue =
+            UpstreamDirectory.Backlog queue =
                     random.nextInt(3) == 0
                             ? (id, own) -> own + 10 * id.charAt(2)
-                            : UpstreamBook.Queue.OWN;
-            UpstreamBook.Need need =
-                    new UpstreamBook.Need(
+                            : UpstreamDirectory.Backlog.OWN;
+            UpstreamDirectory.Need need =
+                    new UpstreamDirectory.Need(
                             "s", stage, work, 15, random.nextBoolean(), excluded, queue);
-            Optional<Lease> lease = book.lease(need, avoided);
-            lease.ifPresent(held::add);
-            String outcome = held.isEmpty() ? "" : outcome(book, held, random);
-            String chosen = lease.map(Lease::id).orElse("none");
-            double done = lease.map(Lease::doneMillis).orElse(0.0);
+            Optional<Assignment> assignment = directory.assign(need, avoided);
+            assignment.ifPresent(held::add);
+            String outcome = held.isEmpty() ? "" : outcome(directory, held, random);
+            String chosen = assignment.map(Assignment::id).orElse("none");
+            double done = assignment.map(Assignment::ordinaryMillis).orElse(0.0);
             lines.add(
                     String.format(
                             Locale.ROOT,
@@ -64,32 +72,33 @@
                             i,
                             chosen,
                             done,
-                            book.estimate(need).orElse(-1.0),
+                            directory.estimateMillis(need).orElse(-1.0),
                             outcome));
         }
         return lines;
     }
 
-    private static String outcome(UpstreamBook book, List<Lease> held, SplittableRandom random) {
-        Lease lease = held.remove(random.nextInt(held.size()));
+    private static String outcome(
+            UpstreamDirectory directory, List<Assignment> held, SplittableRandom random) {
+        Assignment assignment = held.remove(random.nextInt(held.size()));
         int kind = random.nextInt(12);
         String text;
         if (kind < 7) {
-            book.answered(lease);
-            book.succeeded(lease);
+            directory.release(assignment);
+            directory.succeeded(assignment);
             text = "succeeded";
         } else if (kind < 9) {
-            book.failed(lease);
+            directory.failed(assignment);
             text = "failed";
         } else if (kind < 11) {
-            book.full(lease);
+            directory.saturated(assignment);
             text = "full";
         } else {
-            book.unreachable(lease);
+            directory.unreachable(assignment);
             text = "unreachable";
         }
-        book.release(lease);
-        return ", " + lease.id() + " " + text;
+        directory.release(assignment);
+        return ", " + assignment.id() + " " + text;
     }
 
     private static Registration registration(int number, Stage stage) {
@@ -99,7 +108,7 @@
     }
 
     @Test
-    void extraAttemptsAreTakenAsTheyWere() {
+    void retriesAreTakenAsTheyWere() {
         List<String> lines = new ArrayList<>();
         for (double ratio : new double[] {0, 0.2}) {
             for (int slack : new int[] {0, 8, 56}) {
@@ -110,56 +119,66 @@
     }
 
     private static String taken(double ratio, int slack) {
-        Relay.RetryLimit limit = new Relay.RetryLimit(ratio, Duration.ofSeconds(10), slack);
-        ExtraAttempts extras = new ExtraAttempts(limit);
+        WindowRetryBudget.Limit limit =
+                new WindowRetryBudget.Limit(ratio, Duration.ofSeconds(10), slack);
+        ManualClock clock = new ManualClock();
+        AtomicInteger instances = new AtomicInteger();
+        WindowRetryBudget budget = new WindowRetryBudget(limit, instances::get, clock);
         SplittableRandom random = new SplittableRandom(31);
         StringBuilder text = new StringBuilder();
-        long nanos = 0;
         for (int i = 0; i < 1_500; i++) {
-            nanos += random.nextLong(30_000_000);
+            clock.advance(Duration.ofNanos(random.nextLong(30_000_000)));
             if (random.nextInt(3) > 0) {
-                extras.request("s", nanos);
+                budget.countRequest();
             } else {
-                text.append(extras.take("s", 1 + random.nextInt(4), nanos) ? '1' : '0');
+                instances.set(1 + random.nextInt(4));
+                text.append(budget.tryTake() ? '1' : '0');
             }
         }
         return text.toString();
     }
 
     @Test
-    void answersAreSizedAsTheyWere() {
-        AnswerSizes sizes = new AnswerSizes();
+    void outputsAreSizedAsTheyWere() {
+        OutputLengthEstimator lengths = new OutputLengthEstimator();
         SplittableRandom random = new SplittableRandom(41);
         List<String> lines = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
             int expected = random.nextInt(5) == 0 ? 0 : random.nextInt(6_000);
             int most = random.nextInt(5) == 0 ? 0 : 50 + random.nextInt(8_000);
-            RelayRequest.Prompt prompt = new RelayRequest.Prompt(1_000, most, expected, 0);
-            sizes.observe(prompt);
-            int needed = sizes.expect(prompt) + random.nextInt(9_000);
+            OutputLengthEstimator.Stated stated = new OutputLengthEstimator.Stated(expected, most);
+            lengths.observe(stated);
+            int needed = lengths.expect(stated) + random.nextInt(9_000);
             lines.add(
                     String.format(
                             Locale.ROOT,
                             "expected %d, most %d: expect %d, reserve %d; %d tokens wait %.5f",
                             expected,
                             most,
-                            sizes.expect(prompt),
-                            sizes.reserve(prompt),
+                            lengths.expect(stated),
+                            lengths.reserve(stated),
                             needed,
-                            sizes.patience(needed)));
+                            longestWait(lengths.relativeSize(needed))));
         }
         Pin.check("answer-sizes.txt", lines);
     }
 
+    /** The share of its target that a new request may wait for memory. */
+    private static double longestWait(double relativeSize) {
+        Duration target = Duration.ofSeconds(1);
+        return MemoryWaitRule.forNewRequest(relativeSize, target).toNanos()
+                / (double) target.toNanos();
+    }
+
     @Test
-    void requestsThatComeBackAreKnownAsTheyWere() {
-        ReturningRequests returning = new ReturningRequests();
+    void clientRetriesAreKnownAsTheyWere() {
+        ClientRetryDetector retries = new ClientRetryDetector();
         SplittableRandom random = new SplittableRandom(51);
         List<String> lines = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
             String route = "route-" + random.nextInt(2);
             Duration waits = Duration.ofMillis(9_000 + random.nextInt(2_000));
-            lines.add(route + " " + waits + ": " + returning.isReturning(route, waits));
+            lines.add(route + " " + waits + ": " + retries.isRetry(route, waits));
         }
         Pin.check("returning-requests.txt", lines);
     }
@@ -168,18 +187,16 @@
     void promptsAreSplitAsTheyWere() {
         List<String> lines = new ArrayList<>();
         for (double target : new double[] {300, 900}) {
-            lines.add("no prefill engine: " + StagePolicy.choose(Optional.empty(), target));
+            lines.add("no prefill engine: " + choice(OptionalDouble.empty(), target));
             for (double millis = 0; millis < 1_200; millis += 15) {
                 lines.add(
                         "%s of %s ms: %s"
                                 .formatted(
-                                        millis,
-                                        target,
-                                        StagePolicy.choose(Optional.of(millis), target)));
+                                        millis, target, choice(OptionalDouble.of(millis), target)));
             }
         }
-        lines.add("avoided: " + StagePolicy.choose(Optional.of(100_000.0), 900));
-        lines.add("nearly avoided: " + StagePolicy.choose(Optional.of(99_999.0), 900));
+        lines.add("avoided: " + choice(OptionalDouble.of(100_000.0), 900));
+        lines.add("nearly avoided: " + choice(OptionalDouble.of(99_999.0), 900));
         for (int tokens = 500; tokens < 12_000; tokens += 500) {
             for (double share : new double[] {0, 0.49, 0.5, 0.9}) {
                 for (int reading : new int[] {0, 1}) {
@@ -189,10 +206,15 @@
                                             tokens,
                                             share,
                                             reading,
-                                            StagePolicy.isIdle(tokens, share, reading, 300)));
+                                            PrefillRule.isNearlyIdle(tokens, share, reading, 300)));
                 }
             }
         }
         Pin.check("prompt-split.txt", lines);
     }
+
+    /** Names a choice as the pin does, which is older than the present names. */
+    private static String choice(OptionalDouble prefillMillis, double targetMillis) {
+        return PrefillRule.choose(prefillMillis, targetMillis).name().replace("UNSPLIT", "WHOLE");
+    }
 }
--- /dev/null
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/relay/UpstreamDirectoryTest.java
@@ -0,0 +1,159 @@
+/*
+ * Copyright (C) 2026, the Orchidmount authors
+ *
+ * SPDX-License-Identifier: Apache-2.0
+ */
+package org.orchidmount.relay;
+
+import static com.google.common.truth.Truth.assertThat;
+
+import java.time.Duration;
+import java.util.HashSet;
+import java.util.OptionalDouble;
+import java.util.Set;
+import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.orchidmount.junit.ManualClock;
+import org.orchidmount.membership.Registration;
+import org.orchidmount.membership.Registration.Stage;
+import org.orchidmount.membership.Registration.State;
+import org.orchidmount.routing.PrefillRule;
+import org.orchidmount.routing.UpstreamHealth;
+
+/** Tests {@code UpstreamDirectory}. */
+final class UpstreamDirectoryTest {
+    private static final UpstreamDirectory.Need NEED =
+            new UpstreamDirectory.Need(
+                    "s", Stage.NONE, 70, 15, true, Set.of(), UpstreamDirectory.Backlog.OWN);
+
+    private final ManualClock mClock = new ManualClock();
+    private final UpstreamDirectory mDirectory =
+            new UpstreamDirectory("a", mClock, new SplittableRandom(3));
+
+    @Test
+    void theOwnZoneIsPreferredUntilItIsBusy() {
+        mDirectory.update(ready("i-a", "a", 1));
+        mDirectory.update(ready("i-b", "b", 2));
+        assertThat(mDirectory.assign(NEED, Set.of()).get().id()).isEqualTo("i-a");
+        Set<String> chosen = new HashSet<>();
+        for (int i = 0; i < 12; i++) {
+            chosen.add(mDirectory.assign(NEED, Set.of()).get().id());
+        }
+        assertThat(chosen).containsExactly("i-a", "i-b");
+    }
+
+    @Test
+    void whatLeavesGetsNoNewWork() {
+        mDirectory.update(ready("i-a", "a", 1));
+        mDirectory.update(ready("i-a", "a", 1).in(State.DRAINING));
+        mDirectory.update(ready("i-a", "a", 1));
+        assertThat(mDirectory.assign(NEED, Set.of())).isEmpty();
+    }
+
+    @Test
+    void anAddressBelongsToTheLastThatRegisteredThere() {
+        mDirectory.update(ready("i-old", "a", 1));
+        mDirectory.update(ready("i-new", "a", 1));
+        for (int i = 0; i < 10; i++) {
+            assertThat(mDirectory.assign(NEED, Set.of()).get().id()).isEqualTo("i-new");
+        }
+    }
+
+    @Test
+    void whatCannotBeReachedComesLastForAWhile() {
+        mDirectory.update(ready("i-a", "a", 1));
+        mDirectory.update(ready("i-b", "b", 2));
+        Assignment assignment = mDirectory.assign(NEED, Set.of()).get();
+        mDirectory.unreachable(assignment);
+        mDirectory.release(assignment);
+        assertThat(mDirectory.assign(NEED, Set.of()).get().id()).isEqualTo("i-b");
+        mClock.advance(Duration.ofSeconds(10));
+        assertThat(mDirectory.assign(NEED, Set.of()).get().id()).isEqualTo("i-a");
+    }
+
+    @Test
+    void aFullEngineIsWaitedForAndNotTakenForLost() {
+        mDirectory.update(ready("i-a", "a", 1));
+        Assignment assignment = mDirectory.assign(NEED, Set.of()).get();
+        mDirectory.saturated(assignment);
+        mDirectory.release(assignment);
+        assertThat(PrefillRule.choose(mDirectory.estimateMillis(NEED), 900))
+                .isEqualTo(PrefillRule.Choice.UNSPLIT_IF_IDLE);
+        mClock.advance(Duration.ofSeconds(1));
+        assertThat(PrefillRule.choose(mDirectory.estimateMillis(NEED), 900))
+                .isEqualTo(PrefillRule.Choice.SPLIT);
+    }
+
+    @Test
+    void waitingBehindOthersIsNotSlowness() {
+        mDirectory.update(ready("i-a", "a", 1));
+        UpstreamDirectory.Backlog queue = (id, ownMillis) -> 630;
+        UpstreamDirectory.Need queued =
+                new UpstreamDirectory.Need("s", Stage.PREFILL, 70, 15, true, Set.of(), queue);
+        mDirectory.update(engine("i-p"));
+        for (int i = 0; i < 20; i++) {
+            Assignment assignment = mDirectory.assign(queued, Set.of()).get();
+            mClock.advance(Duration.ofMillis(700));
+            mDirectory.succeeded(assignment);
+            mDirectory.release(assignment);
+        }
+        assertThat(mDirectory.estimateMillis(queued).getAsDouble()).isWithin(1).of(700);
+    }
+
+    @Test
+    void whatOthersHaveGivenToAnUpstreamCounts() {
+        mDirectory.update(ready("i-a", "a", 1));
+        mDirectory.update(ready("i-b", "b", 2));
+        UpstreamDirectory.Backlog queue = (id, ownMillis) -> id.equals("i-a") ? 400 : ownMillis;
+        UpstreamDirectory.Need need =
+                new UpstreamDirectory.Need("s", Stage.NONE, 70, 15, true, Set.of(), queue);
+        assertThat(mDirectory.assign(need, Set.of()).get().id()).isEqualTo("i-b");
+    }
+
+    @Test
+    void anotherUpstreamAtTheAddressMeansThatThisOneIsGone() {
+        mDirectory.update(ready("i-a", "a", 1));
+        Assignment assignment = mDirectory.assign(NEED, Set.of()).get();
+        mDirectory.misdirected(assignment);
+        assertThat(mDirectory.assign(NEED, Set.of())).isEmpty();
+    }
+
+    @Test
+    void promptsAreReadWholeOnlyWithoutPrefillEnginesOrWhereThatIsIdle() {
+        assertThat(PrefillRule.choose(OptionalDouble.empty(), 900))
+                .isEqualTo(PrefillRule.Choice.UNSPLIT);
+        assertThat(PrefillRule.choose(OptionalDouble.of(100.0), 900))
+                .isEqualTo(PrefillRule.Choice.SPLIT);
+        assertThat(PrefillRule.choose(OptionalDouble.of(600.0), 900))
+                .isEqualTo(PrefillRule.Choice.UNSPLIT_IF_IDLE_ELSE_SPLIT);
+        assertThat(PrefillRule.choose(OptionalDouble.of(900.0), 900))
+                .isEqualTo(PrefillRule.Choice.UNSPLIT_IF_IDLE);
+        assertThat(PrefillRule.choose(OptionalDouble.of(UpstreamHealth.EJECTED_MILLIS + 1), 900))
+                .isEqualTo(PrefillRule.Choice.UNSPLIT);
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "5000, 0.3, 0, 300, true",
+        "5000, 0.6, 0, 300, false",
+        "5000, 0.3, 2000, 300, false",
+        "8000, 0.3, 0, 300, false",
+        "8000, 0.3, 0, 900, true"
+    })
+    void anIdleEngineHoldsUpFewStreamsForAShortTime(
+            int prompt, double memoryShare, int reading, double pauseMillis, boolean idle) {
+        assertThat(PrefillRule.isNearlyIdle(prompt, memoryShare, reading, pauseMillis))
+                .isEqualTo(idle);
+    }
+
+    private static Registration engine(String id) {
+        return new Registration(id, "s", "10.0.0.9:80", "a", 4, Stage.PREFILL, State.READY, 1);
+    }
+
+    private static Registration ready(String id, String zone, int machine) {
+        return new Registration(
+                id, "s", "10.0.0." + machine + ":80", zone, 4, Stage.NONE, State.READY, 1);
+    }
+}
--- a/org.orchidmount.test/src/test/java/org/orchidmount/routes/RouteTableTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/routes/RouteTableTest.java
@@ -16,8 +16,7 @@
 
 /** Tests {@code RouteTable}. */
 final class RouteTableTest {
-    private static final CallerLimits LIMITS =
-            new CallerLimits(1, Duration.ofSeconds(1));
+    private static final CallerLimits LIMITS = new CallerLimits(1, Duration.ofSeconds(1));
 
     @Test
     void longestPrefixOfTheHostWins() {
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/StagePlanTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/routing/EngineStagePlanTest.java
@@ -3,7 +3,7 @@
  *
  * SPDX-License-Identifier: Apache-2.0
  */
-package org.orchidmount.cluster;
+package org.orchidmount.routing;
 
 import static com.google.common.truth.Truth.assertThat;
 
@@ -14,13 +14,13 @@
 import org.orchidmount.membership.Registration.Stage;
 import org.orchidmount.membership.Registration.State;
 
-/** Tests {@code StagePlan}. */
-final class StagePlanTest {
-    private final StagePlan mPlan = new StagePlan(0.33);
+/** Tests {@code EngineStagePlan}. */
+final class EngineStagePlanTest {
+    private final EngineStagePlan mPlan = new EngineStagePlan(0.33);
 
     @Test
     void anEngineTooManyReadsPrompts() {
-        StagePlan.Change change = mPlan.next(engines(3, 3)).get();
+        EngineStagePlan.Change change = mPlan.next(engines(3, 3)).get();
         assertThat(change.engine().stage()).isEqualTo(Stage.PREFILL);
         assertThat(change.stage()).isEqualTo(Stage.DECODE);
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/blackboard/UpstreamSlot.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/blackboard/UpstreamSlot.java
@@ -7,6 +7,7 @@
 
 import java.util.concurrent.TimeUnit;
 import org.orchidmount.internal.http.Peer;
+import org.orchidmount.routing.CircuitBreaker;
 import org.orchidmount.routing.UpstreamView;
 import org.orchidmount.table.UpstreamMode;
 import org.orchidmount.table.UpstreamRow;
@@ -19,8 +20,7 @@
  * the board's lock. The immutable view is made anew only after a change.
  */
 final class UpstreamSlot {
-    private static final int FAILURES_TO_OPEN = 3;
-    private static final long OPEN_NANOS = TimeUnit.SECONDS.toNanos(2);
+    /** Smoothing factor of the measured prefill rate. Chosen, not measured. */
     private static final double RATE_SMOOTHING = 0.2;
 
     /** Below this many tokens a prefill's time says little about the rate. */
@@ -37,9 +37,8 @@
     private double mMeasuredRate;
     private long mLinkBacklogBytes;
     private long mNextEvent;
-    private int mFailures;
-    private boolean mOpen;
-    private long mOpenUntilNanos;
+    private CircuitBreaker mBreaker = CircuitBreaker.CLOSED;
+    private boolean mEjected;
     private UpstreamView mView;
 
     UpstreamSlot(UpstreamRow row) {
@@ -112,29 +111,24 @@
 
     /** Counts a success; closes the circuit. */
     void succeeded() {
-        mFailures = 0;
-        mOpen = false;
+        mBreaker = mBreaker.afterSuccess();
+        mEjected = false;
         mView = null;
     }
 
     /** Counts a failure; opens the circuit after some in a row. Returns true if it has opened. */
     boolean failed(long nowNanos) {
-        mFailures++;
+        boolean wasEjected = mEjected;
+        mBreaker = mBreaker.afterFailure(nowNanos);
+        mEjected = mBreaker.isEjected(nowNanos);
         mView = null;
-        if (mFailures < FAILURES_TO_OPEN) {
-            return false;
-        }
-        boolean wasOpen = mOpen;
-        mOpen = true;
-        mOpenUntilNanos = nowNanos + OPEN_NANOS;
-        return !wasOpen;
+        return mEjected && !wasEjected;
     }
 
     /** Lets single requests through again once the circuit has been open for a while. */
     void tick(long nowNanos) {
-        if (mOpen && nowNanos - mOpenUntilNanos >= 0) {
-            mOpen = false;
-            mFailures = FAILURES_TO_OPEN - 1;
+        if (mEjected && !mBreaker.isEjected(nowNanos)) {
+            mEjected = false;
             mView = null;
         }
     }
@@ -147,7 +141,7 @@
                             mRow.name(),
                             mRow.zone(),
                             mRow.weight(),
-                            mRow.mode() == UpstreamMode.ACTIVE && !mOpen,
+                            mRow.mode() == UpstreamMode.ACTIVE && !mEjected,
                             mRow.maxRunning(),
                             mOwnRunning,
                             mReportedRunning,
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/ClusterCodec.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/ClusterCodec.java
@@ -16,8 +16,8 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessagePackException;
 import org.msgpack.core.MessageUnpacker;
-import org.orchidmount.cluster.ClusterMessage.EngineRuns;
 import org.orchidmount.cluster.ClusterMessage.Greeting;
+import org.orchidmount.cluster.ClusterMessage.InFlightSequences;
 import org.orchidmount.cluster.ClusterMessage.KeepAlive;
 import org.orchidmount.cluster.ClusterMessage.Registrations;
 import org.orchidmount.cluster.ClusterMessage.RegistrationsHeld;
@@ -36,7 +36,7 @@
 import org.orchidmount.consensus.ReplicaMessage.Hello;
 import org.orchidmount.consensus.ReplicaMessage.VoteReply;
 import org.orchidmount.consensus.ReplicaMessage.VoteRequest;
-import org.orchidmount.load.EngineRun;
+import org.orchidmount.load.InFlightSequence;
 import org.orchidmount.membership.Registration;
 
 /**
@@ -113,7 +113,7 @@
                 }
             }
             case RegistrationsHeld held -> out.packInt(REGISTRATIONS_HELD).packLong(held.number());
-            case EngineRuns runs -> writeEngineRuns(out, runs.runs());
+            case InFlightSequences all -> writeSequences(out, all.sequences());
             case Replication replication -> writeReplication(out, replication);
         }
     }
@@ -181,11 +181,11 @@
             }
             case REGISTRATIONS_HELD -> new RegistrationsHeld(in.unpackLong());
             case ENGINE_RUNS -> {
-                List<EngineRun> runs = new ArrayList<>();
+                List<InFlightSequence> sequences = new ArrayList<>();
                 for (int left = readSize(in); left > 0; left--) {
-                    runs.add(readEngineRun(in));
+                    sequences.add(readSequence(in));
                 }
-                yield new EngineRuns(runs);
+                yield new InFlightSequences(sequences);
             }
             default -> readReplication(in, type);
         };
@@ -301,19 +301,19 @@
                 in.unpackLong());
     }
 
-    private static void writeEngineRuns(MessageBufferPacker out, List<EngineRun> runs)
+    private static void writeSequences(MessageBufferPacker out, List<InFlightSequence> sequences)
             throws IOException {
-        out.packInt(ENGINE_RUNS).packArrayHeader(runs.size());
-        for (EngineRun run : runs) {
-            out.packString(run.upstreamId()).packString(run.requestId());
-            out.packInt(run.promptTokens()).packInt(run.expectedTokens());
-            out.packInt(run.mostTokens()).packInt(run.madeTokens());
-            out.packBoolean(run.ended());
+        out.packInt(ENGINE_RUNS).packArrayHeader(sequences.size());
+        for (InFlightSequence sequence : sequences) {
+            out.packString(sequence.upstreamId()).packString(sequence.id());
+            out.packInt(sequence.promptTokens()).packInt(sequence.expectedTokens());
+            out.packInt(sequence.maxOutputTokens()).packInt(sequence.generatedTokens());
+            out.packBoolean(sequence.ended());
         }
     }
 
-    private static EngineRun readEngineRun(MessageUnpacker in) throws IOException {
-        return new EngineRun(
+    private static InFlightSequence readSequence(MessageUnpacker in) throws IOException {
+        return new InFlightSequence(
                 in.unpackString(),
                 in.unpackString(),
                 in.unpackInt(),
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/ClusterMessage.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/ClusterMessage.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.orchidmount.consensus.Member;
 import org.orchidmount.consensus.ReplicaMessage;
-import org.orchidmount.load.EngineRun;
+import org.orchidmount.load.InFlightSequence;
 import org.orchidmount.membership.Registration;
 
 /** What instances say to each other. */
@@ -68,13 +68,13 @@
     }
 
     /**
-     * Tells what instances have given to engines.
+     * Announces what instances have given to engines.
      *
-     * @param runs the runs, in the order of the news
+     * @param sequences the sequences, in the order of the announcements
      */
-    record EngineRuns(List<EngineRun> runs) implements ClusterMessage {
-        public EngineRuns {
-            runs = List.copyOf(runs);
+    record InFlightSequences(List<InFlightSequence> sequences) implements ClusterMessage {
+        public InFlightSequences {
+            sequences = List.copyOf(sequences);
         }
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/EntryNode.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/EntryNode.java
@@ -19,8 +19,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntSupplier;
 import org.orchidmount.clock.MonotonicClock;
-import org.orchidmount.cluster.ClusterMessage.EngineRuns;
 import org.orchidmount.cluster.ClusterMessage.Greeting;
+import org.orchidmount.cluster.ClusterMessage.InFlightSequences;
 import org.orchidmount.cluster.ClusterMessage.KeepAlive;
 import org.orchidmount.cluster.ClusterMessage.Registrations;
 import org.orchidmount.cluster.ClusterMessage.RegistrationsHeld;
@@ -30,8 +30,8 @@
 import org.orchidmount.cluster.ClusterMessage.Voters;
 import org.orchidmount.consensus.Member;
 import org.orchidmount.internal.log.PartLog;
-import org.orchidmount.load.EngineRun;
-import org.orchidmount.load.RunNews;
+import org.orchidmount.load.InFlightSequence;
+import org.orchidmount.load.SequenceAnnouncer;
 import org.orchidmount.membership.Registration;
 import org.orchidmount.membership.Registry;
 import org.orchidmount.routes.RouteTable;
@@ -44,23 +44,32 @@
  * never comes back. What is known stays in use while no voter can be reached. The state is confined
  * to one thread; the public methods are thread-safe.
  */
-public final class EntryNode implements RunNews, AutoCloseable {
+public final class EntryNode implements SequenceAnnouncer, AutoCloseable {
     private static final PartLog LOG = PartLog.of("entry");
+
+    /** Pause between two looks at links and tables. Chosen, not measured. */
     private static final long TICK_MILLIS = 200;
-    private static final long TELL_AGAIN_MILLIS = 1_500;
 
-    /** News goes to two voters, because one of them may have just been lost. */
-    private static final int TOLD_VOTERS = 2;
+    /** Pause between two announcements of progress; others forget after three missed. Chosen. */
+    private static final long ANNOUNCE_AGAIN_MILLIS = 1_500;
+
+    /** Announcements go to two voters, because one may have just been lost (round e2718bbb). */
+    private static final int ANNOUNCE_TO_VOTERS = 2;
+
+    /** Pause between two requests for a table. Chosen, not measured. */
+    private static final Duration REQUEST_AGAIN_AFTER = Duration.ofMillis(250);
+
+    /** How long the registration of an upstream that has left is remembered. Chosen. */
+    private static final Duration REMEMBER_FOR = Duration.ofMinutes(10);
 
-    private static final long REQUEST_AGAIN_NANOS = Duration.ofMillis(250).toNanos();
-    private static final long REMEMBER_NANOS = Duration.ofMinutes(10).toNanos();
-    private static final long SILENT_NANOS = Duration.ofSeconds(30).toNanos();
+    /** A voter that is silent for this long is no longer dialled. Chosen, not measured. */
+    private static final Duration FORGET_VOTER_AFTER = Duration.ofSeconds(30);
 
-    /** After this time a table of a voter without a quorum has to do. */
-    private static final long WAIT_FOR_QUORUM_NANOS = Duration.ofSeconds(3).toNanos();
+    /** After this time a table of a voter without a quorum is served from. Chosen. */
+    private static final Duration WAIT_FOR_QUORUM = Duration.ofSeconds(3);
 
-    /** Nearly all runs are shorter than this, so after it all that go on were told of. */
-    private static final long HEAR_RUNS_NANOS = Duration.ofSeconds(6).toNanos();
+    /** Nearly all sequences are shorter, so by then those that go on were announced. Chosen. */
+    private static final Duration SEQUENCES_KNOWN_AFTER = Duration.ofSeconds(6);
 
     private final ScheduledThreadPoolExecutor mThread =
             new ScheduledThreadPoolExecutor(
@@ -74,12 +83,12 @@
     private final Map<HostPort, Dialer> mDialers = new HashMap<>();
     private final Map<HostPort, Long> mSeenNanos = new HashMap<>();
 
-    /** What voters told last, those heard of last at the end. */
+    /** The newest notice of each voter; those received last stand at the end. */
     private final LinkedHashMap<Link, TableNotice> mNotices = new LinkedHashMap<>();
 
     private final Map<Link, HostPort> mLinks = new HashMap<>();
-    private final Registry mRegistry = new Registry(REMEMBER_NANOS);
-    private final Map<String, OwnRun> mOwnRuns = new HashMap<>();
+    private final Registry mRegistry = new Registry(REMEMBER_FOR.toNanos());
+    private final Map<String, OwnSequence> mOwnSequences = new HashMap<>();
     private final long mStartNanos;
     private long mRequestedNanos;
     private volatile long mUnlinkedNanos;
@@ -88,28 +97,28 @@
     private volatile boolean mReady;
     private volatile int mEntries = 1;
 
-    /** A run that this instance has placed. */
-    private record OwnRun(EngineRun run, IntSupplier madeTokens) {
-        EngineRun now() {
-            return run.withMade(madeTokens.getAsInt());
+    /** A sequence that this instance has placed. */
+    private record OwnSequence(InFlightSequence sequence, IntSupplier generatedTokens) {
+        InFlightSequence now() {
+            return sequence.withGenerated(generatedTokens.getAsInt());
         }
     }
 
-    /** Learns what the voters pass on; called on the node's thread. */
+    /** Takes what is received from the voters; called on the node's thread. */
     public interface Listener {
         /**
-         * Takes a registration that says something new.
+         * Takes a registration that is new.
          *
          * @param registration the registration
          */
-        void changed(Registration registration);
+        void onRegistration(Registration registration);
 
         /**
-         * Takes what an instance, perhaps this one, has told of a run.
+         * Takes what an instance, perhaps this one, has announced of a sequence.
          *
-         * @param run the run
+         * @param sequence the sequence
          */
-        void told(EngineRun run);
+        void onSequence(InFlightSequence sequence);
     }
 
     /**
@@ -118,7 +127,7 @@
      * @param node the instance's name
      * @param seeds cluster addresses of some voters
      * @param parser reads tables
-     * @param listener learns of upstreams and of what others give them
+     * @param listener takes registrations and announcements
      * @param clock the clock
      */
     public EntryNode(
@@ -133,13 +142,13 @@
         mGreeting = new Greeting(VoterNode.PROTOCOL, node, null);
         mSeeds = Set.copyOf(seeds);
         mStartNanos = clock.nanoTime();
-        mRequestedNanos = mStartNanos - REQUEST_AGAIN_NANOS;
+        mRequestedNanos = mStartNanos - REQUEST_AGAIN_AFTER.toNanos();
         mUnlinkedNanos = mStartNanos;
         post(() -> mSeeds.forEach(this::dial));
         mThread.scheduleWithFixedDelay(
-                () -> guarded(this::tellAgain),
-                TELL_AGAIN_MILLIS,
-                TELL_AGAIN_MILLIS,
+                () -> guarded(this::announceAgain),
+                ANNOUNCE_AGAIN_MILLIS,
+                ANNOUNCE_AGAIN_MILLIS,
                 TimeUnit.MILLISECONDS);
         mThread.scheduleWithFixedDelay(
                 () -> guarded(this::tick), TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
@@ -182,43 +191,44 @@
     }
 
     @Override
-    public void begin(EngineRun run, IntSupplier madeTokens) {
+    public void begin(InFlightSequence sequence, IntSupplier generatedTokens) {
         post(
                 () -> {
-                    mOwnRuns.put(run.requestId(), new OwnRun(run, madeTokens));
-                    tell(List.of(run));
+                    mOwnSequences.put(sequence.id(), new OwnSequence(sequence, generatedTokens));
+                    announce(List.of(sequence));
                 });
     }
 
     @Override
-    public void end(EngineRun run) {
+    public void end(InFlightSequence sequence) {
         post(
                 () -> {
-                    mOwnRuns.remove(run.requestId());
-                    tell(List.of(run));
+                    mOwnSequences.remove(sequence.id());
+                    announce(List.of(sequence));
                 });
     }
 
-    /** Sends news to the voters that were heard of last, which are most likely well. */
-    private void tell(List<EngineRun> runs) {
+    /** Sends to the voters that were heard from last, which are most likely well. */
+    private void announce(List<InFlightSequence> sequences) {
         mNotices.sequencedKeySet().reversed().stream()
                 .filter(Link::isOpen)
-                .limit(TOLD_VOTERS)
-                .forEach(link -> link.send(new EngineRuns(runs)));
+                .limit(ANNOUNCE_TO_VOTERS)
+                .forEach(link -> link.send(new InFlightSequences(sequences)));
     }
 
-    /** Tells again of what goes on, so that the others forget what ended with its instance. */
-    private void tellAgain() {
-        List<EngineRun> runs = mOwnRuns.values().stream().map(OwnRun::now).toList();
-        runs.forEach(mListener::told);
-        if (!runs.isEmpty()) {
-            tell(runs);
+    /** Announces the progress of all own sequences, so that others forget those of the dead. */
+    private void announceAgain() {
+        List<InFlightSequence> sequences =
+                mOwnSequences.values().stream().map(OwnSequence::now).toList();
+        sequences.forEach(mListener::onSequence);
+        if (!sequences.isEmpty()) {
+            announce(sequences);
         }
     }
 
     @Override
     public boolean isComplete() {
-        return mClock.nanoTime() - mUnlinkedNanos > HEAR_RUNS_NANOS;
+        return mClock.nanoTime() - mUnlinkedNanos > SEQUENCES_KNOWN_AFTER.toNanos();
     }
 
     private void dial(HostPort address) {
@@ -231,14 +241,17 @@
             case Voters voters -> voters.members().forEach(this::learn);
             case TableNotice notice -> {
                 mNotices.putLast(link, notice);
-                mEntries = Math.max(1, entriesTold());
+                mEntries = Math.max(1, largestEntryCount());
                 follow();
             }
             case TableDocument document -> apply(document);
-            case EngineRuns runs -> runs.runs().forEach(mListener::told);
+            case InFlightSequences announced ->
+                    announced.sequences().forEach(mListener::onSequence);
             case Registrations registrations -> {
                 for (Registration registration : registrations.registrations()) {
-                    mRegistry.merge(registration, mClock.nanoTime()).ifPresent(mListener::changed);
+                    mRegistry
+                            .merge(registration, mClock.nanoTime())
+                            .ifPresent(mListener::onRegistration);
                 }
                 if (registrations.number() != 0) {
                     link.send(new RegistrationsHeld(registrations.number()));
@@ -248,7 +261,7 @@
         }
     }
 
-    private int entriesTold() {
+    private int largestEntryCount() {
         return mNotices.values().stream().mapToInt(TableNotice::entries).max().orElse(1);
     }
 
@@ -281,12 +294,12 @@
             }
         }
         long nowNanos = mClock.nanoTime();
-        if (newest != null && nowNanos - mRequestedNanos >= REQUEST_AGAIN_NANOS) {
+        if (newest != null && nowNanos - mRequestedNanos >= REQUEST_AGAIN_AFTER.toNanos()) {
             mRequestedNanos = nowNanos;
             newest.send(new TableRequest());
         }
         mConfirmed |= mNotices.values().stream().anyMatch(TableNotice::inTouch);
-        boolean waited = nowNanos - mStartNanos > WAIT_FOR_QUORUM_NANOS;
+        boolean waited = nowNanos - mStartNanos > WAIT_FOR_QUORUM.toNanos();
         boolean known = mTable != null && newest == null;
         if (!mReady && known && (mConfirmed || waited)) {
             mReady = true;
@@ -295,7 +308,7 @@
     }
 
     private void apply(TableDocument document) {
-        mRequestedNanos = mClock.nanoTime() - REQUEST_AGAIN_NANOS;
+        mRequestedNanos = mClock.nanoTime() - REQUEST_AGAIN_AFTER.toNanos();
         if (mTable != null && document.version() <= mTable.version()) {
             return;
         }
@@ -314,7 +327,8 @@
         List<HostPort> silent = new ArrayList<>();
         mSeenNanos.forEach(
                 (address, seenNanos) -> {
-                    if (nowNanos - seenNanos > SILENT_NANOS && !mSeeds.contains(address)) {
+                    if (nowNanos - seenNanos > FORGET_VOTER_AFTER.toNanos()
+                            && !mSeeds.contains(address)) {
                         silent.add(address);
                     }
                 });
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/StageController.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/StageController.java
@@ -12,6 +12,7 @@
 import java.util.function.BooleanSupplier;
 import org.orchidmount.internal.log.PartLog;
 import org.orchidmount.membership.Registration;
+import org.orchidmount.routing.EngineStagePlan;
 
 /**
  * Gives orders to engines while its voter leads.
@@ -31,12 +32,12 @@
 
     private final VoterConfig.Stages mConfig;
     private final StageOrders mOrders;
-    private final StagePlan mPlan;
+    private final EngineStagePlan mPlan;
     private final String mHolder;
     private long mTerm = -1;
     private long mTermSinceNanos;
     private boolean mFenced;
-    private StagePlan.Change mDue;
+    private EngineStagePlan.Change mDue;
     private long mDueSinceNanos;
     private long mRestUntilNanos;
     private long mGivenNanos;
@@ -46,7 +47,7 @@
     StageController(VoterConfig.Stages config, String holder) {
         mConfig = config;
         mOrders = config.orders();
-        mPlan = new StagePlan(config.prefillShare());
+        mPlan = new EngineStagePlan(config.prefillShare());
         mHolder = holder;
     }
 
@@ -86,7 +87,7 @@
             return;
         }
         mPending = null;
-        Optional<StagePlan.Change> change = mPlan.next(heard);
+        Optional<EngineStagePlan.Change> change = mPlan.next(heard);
         if (change.isEmpty()) {
             mDue = null;
             return;
@@ -108,7 +109,7 @@
                 && registration.stage() == mPending.stage();
     }
 
-    private void give(StagePlan.Change change, BooleanSupplier stillHeld, long nowNanos) {
+    private void give(EngineStagePlan.Change change, BooleanSupplier stillHeld, long nowNanos) {
         StageOrders.Order order =
                 new StageOrders.Order(change.engine(), change.stage(), mHolder, mTerm);
         mPending = order;
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterNode.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterNode.java
@@ -22,8 +22,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.orchidmount.clock.MonotonicClock;
-import org.orchidmount.cluster.ClusterMessage.EngineRuns;
 import org.orchidmount.cluster.ClusterMessage.Greeting;
+import org.orchidmount.cluster.ClusterMessage.InFlightSequences;
 import org.orchidmount.cluster.ClusterMessage.KeepAlive;
 import org.orchidmount.cluster.ClusterMessage.Registrations;
 import org.orchidmount.cluster.ClusterMessage.RegistrationsHeld;
@@ -40,7 +40,7 @@
 import org.orchidmount.consensus.ReplicaEffects;
 import org.orchidmount.consensus.ReplicaMessage;
 import org.orchidmount.internal.log.PartLog;
-import org.orchidmount.load.EngineRun;
+import org.orchidmount.load.InFlightSequence;
 import org.orchidmount.membership.Registration;
 import org.orchidmount.membership.Registry;
 
@@ -60,7 +60,7 @@
     private static final long TICK_MILLIS = 50;
     private static final long NOTICE_MILLIS = 1_000;
 
-    /** News of runs is gathered this long, so that many entries cost few frames. */
+    /** Announcements are gathered this long, so that many entries cost few frames. Chosen. */
     private static final long GATHER_MILLIS = 2;
 
     private static final long REMEMBER_NANOS = Duration.ofMinutes(10).toNanos();
@@ -83,8 +83,8 @@
     /** What upstreams said here since the other voters were last told. */
     private final Map<String, Registration> mHeard = new HashMap<>();
 
-    /** What entries said of runs and the others were not told yet. */
-    private final List<EngineRun> mRunNews = new ArrayList<>();
+    /** Announcements of entries that were not passed on yet. */
+    private final List<InFlightSequence> mAnnounced = new ArrayList<>();
 
     private GroupState mCommitted = new GroupState(List.of(), 0, new byte[0]);
     private long mSpreadNumber;
@@ -378,7 +378,7 @@
                             new TableDocument(
                                     mCommitted.tableVersion(), mCommitted.tableDocument()));
             case Voters voters -> voters.members().forEach(this::learn);
-            case EngineRuns runs -> onRunNews(runs);
+            case InFlightSequences announced -> onSequences(announced);
             case KeepAlive _, Greeting _, TableNotice _, TableDocument _ -> {}
         }
     }
@@ -432,18 +432,18 @@
         }
     }
 
-    /** Passes news of runs on to all entries; the one that it is from takes it as known. */
-    private void onRunNews(EngineRuns news) {
-        if (mRunNews.isEmpty()) {
+    /** Passes announcements on to all entries; the sender takes its own as known. */
+    private void onSequences(InFlightSequences announced) {
+        if (mAnnounced.isEmpty()) {
             mThread.schedule(
-                    () -> guarded(this::sendRunNews), GATHER_MILLIS, TimeUnit.MILLISECONDS);
+                    () -> guarded(this::sendAnnounced), GATHER_MILLIS, TimeUnit.MILLISECONDS);
         }
-        mRunNews.addAll(news.runs());
+        mAnnounced.addAll(announced.sequences());
     }
 
-    private void sendRunNews() {
-        mLinks.sendToEntries(new EngineRuns(mRunNews));
-        mRunNews.clear();
+    private void sendAnnounced() {
+        mLinks.sendToEntries(new InFlightSequences(mAnnounced));
+        mAnnounced.clear();
     }
 
     private TableNotice notice() {
--- a/org.orchidmount/src/main/java/org/orchidmount/load/EngineLoads.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/load/EngineLoads.java
@@ -16,47 +16,53 @@
 import org.orchidmount.clock.MonotonicClock;
 import org.orchidmount.internal.lock.LockRank;
 import org.orchidmount.internal.lock.OrderedLock;
+import org.orchidmount.routing.MemoryForecast;
+import org.orchidmount.routing.MemoryRule;
 
 /**
- * The answers that engines are making, for this instance and for the others.
+ * What this instance knows of the sequences in flight at engines, its own and those of the others.
  *
- * <p>Invariants: a run counts until its end is told, or nothing is told of it for a while; once its
- * end was told, older news that came by another way does not bring it back. Thread-safe.
+ * <p>It keeps the facts; {@link MemoryRule} decides by them. Invariants: a sequence counts until
+ * its end is announced, or nothing is received of it for a while; once its end was announced, an
+ * older announcement that took another way does not bring it back. Thread-safe.
  */
 public final class EngineLoads {
-    /** What an engine makes in a millisecond for each answer, before any was seen. */
-    private static final double FIRST_TOKENS_PER_MILLI = 1.3;
+    /** Tokens a sequence grows in a millisecond, before any was seen (trials to 08ae6f6f). */
+    private static final double INITIAL_TOKENS_PER_MILLI = 1.3;
 
-    private static final double SPEED_WEIGHT = 0.2;
+    /** Smoothing factor of that rate. Chosen, not measured. */
+    private static final double RATE_SMOOTHING = 0.2;
 
-    /** Between the moment an engine is chosen and its first token. */
-    private static final double PROMPT_MILLIS = 150;
+    /** From the choice of an engine to its first token, in milliseconds. Chosen, not measured. */
+    private static final double FIRST_TOKEN_MILLIS = 150;
 
-    /** The share of an engine's memory that is planned with; the rest is lost in blocks. */
-    private static final double USABLE_SHARE = 0.97;
+    /** Three announcements missed: a sequence so silent has ended with its instance. */
+    private static final Duration FORGET_AFTER = Duration.ofSeconds(5);
 
-    /** A run that was not told of for this long has ended with the instance that placed it. */
-    private static final long FORGET_NANOS = Duration.ofSeconds(5).toNanos();
-
-    /** Runs that began this close to each other may have been placed without knowing. */
-    private static final long TOGETHER_NANOS = Duration.ofMillis(80).toNanos();
-
-    private static final double NANOS_PER_MILLI = 1e6;
+    private static final double NANOS_PER_MILLI = Duration.ofMillis(1).toNanos();
 
     private final OrderedLock mLock = new OrderedLock(LockRank.LOADS);
     private final MonotonicClock mClock;
-    private final Map<String, Map<String, Held>> mRuns = new HashMap<>();
-    private double mTokensPerMilli = FIRST_TOKENS_PER_MILLI;
-
-    /** A run, when it was first told of, and when what is known of it was told. */
-    private record Held(EngineRun run, long sinceNanos, long toldNanos) {
-        boolean isFollowedBy(Held news) {
-            boolean older = news.run.madeTokens() < run.madeTokens() && !news.run.ended();
-            return !run.ended() && !older;
+    private final Map<String, Map<String, Known>> mSequences = new HashMap<>();
+    private double mTokensPerMilli = INITIAL_TOKENS_PER_MILLI;
+
+    /**
+     * A sequence as it was last announced.
+     *
+     * @param sequence the sequence
+     * @param sinceNanos when it was first received
+     * @param updatedNanos when it was last received
+     */
+    private record Known(InFlightSequence sequence, long sinceNanos, long updatedNanos) {
+        boolean isFollowedBy(Known next) {
+            boolean older =
+                    next.sequence.generatedTokens() < sequence.generatedTokens()
+                            && !next.sequence.ended();
+            return !sequence.ended() && !older;
         }
 
-        Held after(Held before) {
-            return new Held(run, before.sinceNanos, toldNanos);
+        Known since(Known before) {
+            return new Known(sequence, before.sinceNanos, updatedNanos);
         }
     }
 
@@ -70,146 +76,157 @@
     }
 
     /**
-     * Takes news of a run.
+     * Takes what was announced of a sequence.
      *
-     * @param run the run
+     * @param sequence the sequence
      */
-    public void apply(EngineRun run) {
+    public void update(InFlightSequence sequence) {
         try (OrderedLock.Held _ = mLock.hold()) {
             long nowNanos = mClock.nanoTime();
-            mRuns.computeIfAbsent(run.upstreamId(), id -> new HashMap<>())
+            mSequences
+                    .computeIfAbsent(sequence.upstreamId(), id -> new HashMap<>())
                     .merge(
-                            run.requestId(),
-                            new Held(run, nowNanos, nowNanos),
-                            (before, news) ->
-                                    before.isFollowedBy(news) ? news.after(before) : before);
+                            sequence.id(),
+                            new Known(sequence, nowNanos, nowNanos),
+                            (before, next) ->
+                                    before.isFollowedBy(next) ? next.since(before) : before);
         }
     }
 
     /**
-     * Notes how fast an answer was made.
+     * Learns from a whole output how fast sequences grow.
      *
      * @param tokensPerMilli its tokens for each millisecond between its first and its last
      */
-    public void observeSpeed(double tokensPerMilli) {
+    public void observeRate(double tokensPerMilli) {
         try (OrderedLock.Held _ = mLock.hold()) {
-            mTokensPerMilli += SPEED_WEIGHT * (tokensPerMilli - mTokensPerMilli);
+            mTokensPerMilli += RATE_SMOOTHING * (tokensPerMilli - mTokensPerMilli);
         }
     }
 
     /**
-     * Names the engines whose memory would not bear one more run.
+     * Names the engines whose memory has no room for one more sequence.
      *
-     * @param candidate the run; its engine does not count
+     * @param candidate the sequence; its engine does not count
      * @param memoryTokens the memory of each engine
      * @return their identities; an engine of which nothing is known is not among them
      */
-    public Set<String> crowded(EngineRun candidate, long memoryTokens) {
+    public Set<String> saturatedEngines(InFlightSequence candidate, long memoryTokens) {
         try (OrderedLock.Held _ = mLock.hold()) {
             long nowNanos = mClock.nanoTime();
             forgetOld(nowNanos);
-            Set<String> crowded = new HashSet<>();
-            mRuns.forEach(
-                    (upstreamId, held) -> {
-                        if (peakTokens(held, candidate, nowNanos) > USABLE_SHARE * memoryTokens) {
-                            crowded.add(upstreamId);
+            Set<String> saturated = new HashSet<>();
+            mSequences.forEach(
+                    (upstreamId, known) -> {
+                        if (!fits(known, candidate, memoryTokens, nowNanos)) {
+                            saturated.add(upstreamId);
                         }
                     });
-            return crowded;
+            return saturated;
         }
     }
 
     /**
-     * Tells how much an engine has yet to read.
+     * Returns how much an engine has yet to prefill.
      *
      * @param upstreamId its identity
-     * @return the tokens of all prompts that it was given to read and has not
+     * @return the tokens of all prompts that it was given and has not prefilled
      */
-    public int queuedTokens(String upstreamId) {
+    public int prefillBacklogTokens(String upstreamId) {
         try (OrderedLock.Held _ = mLock.hold()) {
-            return running(upstreamId)
-                    .filter(held -> held.run().isReading())
-                    .mapToInt(held -> held.run().promptTokens())
+            return inFlight(upstreamId)
+                    .map(Known::sequence)
+                    .filter(InFlightSequence::isPrefill)
+                    .mapToInt(InFlightSequence::promptTokens)
                     .sum();
         }
     }
 
     /**
-     * Estimates how much memory the answers of an engine take now.
+     * Estimates how much memory the sequences of an engine use now.
      *
      * @param upstreamId its identity
      * @return tokens
      */
-    public double heldTokens(String upstreamId) {
+    public double usedMemoryTokens(String upstreamId) {
         try (OrderedLock.Held _ = mLock.hold()) {
             long nowNanos = mClock.nanoTime();
-            return running(upstreamId)
-                    .mapToDouble(held -> held.run().promptTokens() + madeTokens(held, nowNanos))
+            return inFlight(upstreamId)
+                    .mapToDouble(
+                            known ->
+                                    known.sequence().promptTokens()
+                                            + generatedTokens(known, nowNanos))
                     .sum();
         }
     }
 
-    private Stream<Held> running(String upstreamId) {
-        return mRuns.getOrDefault(upstreamId, Map.of()).values().stream()
-                .filter(held -> !held.run().ended());
+    private Stream<Known> inFlight(String upstreamId) {
+        return mSequences.getOrDefault(upstreamId, Map.of()).values().stream()
+                .filter(known -> !known.sequence().ended());
     }
 
     /**
-     * Tells whether an engine bears a run that was just told of, where several instances may have
-     * chosen the engine at the same moment: of those that began together the ones with the lower
-     * identities stay, and every instance decides alike.
+     * Tells whether a sequence that was just announced keeps its place, where several instances may
+     * have chosen the engine at the same moment.
      *
-     * @param run the run, which is held here
+     * @param sequence the sequence, which is known here
      * @param memoryTokens the memory of the engine
-     * @return false if the run has to go elsewhere
+     * @return false if it has to go elsewhere
      */
-    public boolean bears(EngineRun run, long memoryTokens) {
+    public boolean keepsPlace(InFlightSequence sequence, long memoryTokens) {
         try (OrderedLock.Held _ = mLock.hold()) {
-            Map<String, Held> runs = mRuns.getOrDefault(run.upstreamId(), Map.of());
-            Held own = runs.get(run.requestId());
+            Map<String, Known> atEngine = mSequences.getOrDefault(sequence.upstreamId(), Map.of());
+            Known own = atEngine.get(sequence.id());
             if (own == null) {
                 return true;
             }
-            Map<String, Held> before = new HashMap<>(runs);
-            before.values().removeIf(other -> !goesBefore(other, own));
-            return peakTokens(before, run, mClock.nanoTime()) <= USABLE_SHARE * memoryTokens;
+            Map<String, Known> before = new HashMap<>(atEngine);
+            before.values().removeIf(other -> !hasPrecedence(other, own));
+            return fits(before, sequence, memoryTokens, mClock.nanoTime());
         }
     }
 
-    private static boolean goesBefore(Held other, Held own) {
-        boolean together = other.sinceNanos() - own.sinceNanos() > -TOGETHER_NANOS;
-        return together
-                ? other.run().requestId().compareTo(own.run().requestId()) < 0
-                : other != own;
+    private static boolean hasPrecedence(Known other, Known own) {
+        return MemoryRule.hasPrecedence(
+                other.sinceNanos(), other.sequence().id(), own.sinceNanos(), own.sequence().id());
     }
 
-    private double peakTokens(Map<String, Held> held, EngineRun candidate, long nowNanos) {
-        List<MemoryForecast.Run> runs = new ArrayList<>(held.size() + 1);
-        runs.add(forecastRun(candidate, 0));
-        for (Held run : held.values()) {
-            if (!run.run().ended()) {
-                runs.add(forecastRun(run.run(), madeTokens(run, nowNanos)));
+    private boolean fits(
+            Map<String, Known> atEngine,
+            InFlightSequence candidate,
+            long memoryTokens,
+            long nowNanos) {
+        List<MemoryForecast.Sequence> sequences = new ArrayList<>(atEngine.size() + 1);
+        sequences.add(forecastInput(candidate, 0));
+        for (Known known : atEngine.values()) {
+            if (!known.sequence().ended()) {
+                sequences.add(forecastInput(known.sequence(), generatedTokens(known, nowNanos)));
             }
         }
-        return MemoryForecast.peakTokens(runs, mTokensPerMilli);
+        return MemoryRule.fits(sequences, mTokensPerMilli, memoryTokens);
     }
 
-    private double madeTokens(Held held, long nowNanos) {
-        double toldMillis = (nowNanos - held.toldNanos()) / NANOS_PER_MILLI;
-        boolean begun = held.run().madeTokens() > 0;
-        double grownMillis = begun ? toldMillis : Math.max(0, toldMillis - PROMPT_MILLIS);
-        return held.run().madeTokens() + grownMillis * mTokensPerMilli;
+    /** Extrapolates what a sequence has generated since it was last announced. */
+    private double generatedTokens(Known known, long nowNanos) {
+        double sinceMillis = (nowNanos - known.updatedNanos()) / NANOS_PER_MILLI;
+        boolean begun = known.sequence().generatedTokens() > 0;
+        double growingMillis = begun ? sinceMillis : Math.max(0, sinceMillis - FIRST_TOKEN_MILLIS);
+        return known.sequence().generatedTokens() + growingMillis * mTokensPerMilli;
     }
 
-    private static MemoryForecast.Run forecastRun(EngineRun run, double madeTokens) {
-        return new MemoryForecast.Run(
-                run.promptTokens(), madeTokens, run.expectedTokens(), run.mostTokens());
+    private static MemoryForecast.Sequence forecastInput(
+            InFlightSequence sequence, double generatedTokens) {
+        return new MemoryForecast.Sequence(
+                sequence.promptTokens(),
+                generatedTokens,
+                sequence.expectedTokens(),
+                sequence.maxOutputTokens());
     }
 
     private void forgetOld(long nowNanos) {
-        for (Map<String, Held> runs : mRuns.values()) {
-            runs.values().removeIf(held -> nowNanos - held.toldNanos() > FORGET_NANOS);
+        for (Map<String, Known> known : mSequences.values()) {
+            known.values().removeIf(old -> nowNanos - old.updatedNanos() > FORGET_AFTER.toNanos());
         }
-        mRuns.values().removeIf(Map::isEmpty);
+        mSequences.values().removeIf(Map::isEmpty);
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Lease.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Assignment.java
@@ -9,35 +9,33 @@
 import org.orchidmount.internal.http.Peer;
 
 /**
- * A place at an upstream, held by one request. Guarded by the lock of {@link UpstreamBook}, except
- * for what never changes.
+ * Work that this instance has given to an upstream. Guarded by the lock of {@link
+ * UpstreamDirectory}, except for what never changes.
  */
-final class Lease {
+final class Assignment {
     private final Upstream mUpstream;
     private final double mWorkMillis;
-    private final double mDoneMillis;
+    private final double mOrdinaryMillis;
     private final long mSinceNanos;
-    private final String mId;
     private final Peer mPeer;
-    private boolean mWorking = true;
-    private boolean mHeld = true;
+    private boolean mPending = true;
 
-    Lease(Upstream upstream, double workMillis, double doneMillis, long sinceNanos) {
+    Assignment(Upstream upstream, double workMillis, double ordinaryMillis, long sinceNanos) {
         mUpstream = upstream;
         mWorkMillis = workMillis;
-        mDoneMillis = doneMillis;
+        mOrdinaryMillis = ordinaryMillis;
         mSinceNanos = sinceNanos;
-        mId = upstream.registration().id();
         HostPort address = HostPort.parse(upstream.registration().address());
-        mPeer = new Peer(mId, address.host(), address.port());
+        mPeer = new Peer(upstream.registration().id(), address.host(), address.port());
     }
 
     Upstream upstream() {
         return mUpstream;
     }
 
+    /** Returns the identity of the upstream. */
     String id() {
-        return mId;
+        return mPeer.name();
     }
 
     Peer peer() {
@@ -45,25 +43,19 @@
     }
 
     /** Returns after what time an upstream of ordinary speed would have done the work. */
-    double doneMillis() {
-        return mDoneMillis;
+    double ordinaryMillis() {
+        return mOrdinaryMillis;
     }
 
     long sinceNanos() {
         return mSinceNanos;
     }
 
+    /** Ends the work, once. */
     void endWork() {
-        if (mWorking) {
-            mWorking = false;
+        if (mPending) {
+            mPending = false;
             mUpstream.endWork(mWorkMillis);
         }
     }
-
-    void endRequest() {
-        if (mHeld) {
-            mHeld = false;
-            mUpstream.endRequest();
-        }
-    }
 }
--- /dev/null
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/AttemptRunner.java
@@ -0,0 +1,253 @@
+/*
+ * Copyright (C) 2026, the Orchidmount authors
+ *
+ * SPDX-License-Identifier: Apache-2.0
+ */
+package org.orchidmount.relay;
+
+import io.undertow.client.ClientResponse;
+import io.undertow.util.HeaderMap;
+import java.io.IOException;
+import java.time.Duration;
+import java.util.Optional;
+import java.util.concurrent.TimeoutException;
+import org.orchidmount.errors.CallFailedException;
+import org.orchidmount.errors.Failure;
+import org.orchidmount.errors.Step;
+import org.orchidmount.internal.http.HttpCall;
+import org.orchidmount.internal.http.HttpHead;
+import org.orchidmount.internal.log.PartLog;
+import org.orchidmount.relay.UpstreamCall.Phase;
+import org.orchidmount.routes.RequestKind;
+import org.orchidmount.routes.Route;
+import org.orchidmount.routing.AttemptOutcome;
+import org.orchidmount.routing.AttemptRule;
+import org.orchidmount.upstream.CancelSignal;
+
+/**
+ * Carries out the attempts of one request: calls an upstream, passes its response on, and reports
+ * what the attempt proves. It decides nothing; {@link RequestRelay} does.
+ *
+ * <p>Invariants: only a whole response, or whole events in rising order, reach the client; what the
+ * client has in part is continued only with what follows it. Used by one virtual thread.
+ */
+final class AttemptRunner {
+    private static final PartLog LOG = PartLog.of("relay");
+
+    /** Bytes of a response that is not streamed; larger ones fail. Chosen, not measured. */
+    private static final int MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
+
+    /** The body of a response that is thrown away, to keep its connection. Chosen. */
+    private static final Duration DISCARD_TIMEOUT = Duration.ofSeconds(2);
+
+    private final RelayContext mContext;
+    private final RelayRequest mRequest;
+    private final Route mRoute;
+    private final CallerResponse mClient;
+    private final CancelSignal mCancel;
+    private final Optional<SequenceTracker> mTracker;
+    private final long mArrivedNanos;
+    private Optional<StreamForward> mStream = Optional.empty();
+    private Optional<HeldResponse> mHeld = Optional.empty();
+    private String mLastFailure = "no upstream takes work";
+
+    /**
+     * A whole error response that is passed on unless another upstream does better.
+     *
+     * @param status its status
+     * @param headers the fields that are passed on
+     * @param body its body
+     */
+    record HeldResponse(int status, HeaderMap headers, byte[] body) {}
+
+    AttemptRunner(
+            RelayContext context,
+            RelayRequest request,
+            CallerResponse client,
+            CancelSignal cancel,
+            Optional<SequenceTracker> tracker) {
+        mContext = context;
+        mRequest = request;
+        mRoute = request.route();
+        mClient = client;
+        mCancel = cancel;
+        mTracker = tracker;
+        mArrivedNanos = context.clock().nanoTime();
+    }
+
+    /** Returns why the latest attempt did not serve the client. */
+    String lastFailure() {
+        return mLastFailure;
+    }
+
+    /** Returns the error response to pass on if no attempt does better. */
+    Optional<HeldResponse> held() {
+        return mHeld;
+    }
+
+    /** Returns the stream that the client has in part, if any. */
+    Optional<StreamForward> begunStream() {
+        return mStream.filter(StreamForward::isStarted);
+    }
+
+    /**
+     * Makes one attempt.
+     *
+     * @param placement where
+     * @param cache where the prompt's KV cache is, if it was prefilled elsewhere
+     * @param history the attempts before
+     * @return what the attempt proves
+     * @throws IOException if the client has gone
+     * @throws TimeoutException if the client reads too slowly
+     * @throws InterruptedException if the thread is interrupted
+     */
+    AttemptOutcome run(Placement placement, Optional<KvCacheRef> cache, AttemptRule.History history)
+            throws IOException, TimeoutException, InterruptedException {
+        Assignment assignment = placement.assignment();
+        UpstreamCall upstreamCall =
+                new UpstreamCall(
+                        assignment.id(),
+                        left(),
+                        Phase.COMPLETE,
+                        cache,
+                        placement.reservation(),
+                        mStream.map(StreamForward::last).orElse(0L));
+        HttpHead head = mContext.protocol().head(mRequest, upstreamCall);
+        try (HttpCall call = open(assignment, head);
+                CancelSignal.Registration _ = mCancel.onCancel(call::abort)) {
+            Duration silenceLimit =
+                    AttemptRule.silenceLimit(
+                            history, mRoute.attemptLimits(), mRoute.target(), left());
+            ClientResponse response = call.awaitResponse(silenceLimit);
+            call.limitIdle(mContext.protocol().idleTimeout(response));
+            return onHead(placement, call, response);
+        } catch (CallFailedException e) {
+            return failed(assignment, e.failure());
+        }
+    }
+
+    private HttpCall open(Assignment assignment, HttpHead head) throws CallFailedException {
+        byte[] body = mRequest.body();
+        return body.length == 0
+                ? mContext.connections().call(assignment.peer(), Step.FORWARD, head)
+                : mContext.connections().call(assignment.peer(), Step.FORWARD, head, body, left());
+    }
+
+    private Duration left() {
+        return mRequest.left(mContext.clock().nanoTime());
+    }
+
+    private AttemptOutcome onHead(Placement placement, HttpCall call, ClientResponse response)
+            throws CallFailedException, IOException, TimeoutException, InterruptedException {
+        Assignment assignment = placement.assignment();
+        return switch (mContext.protocol().classify(mRequest, response)) {
+            case NOT_RUN -> {
+                mContext.upstreams().saturated(assignment);
+                mLastFailure = "status " + response.getResponseCode() + ", not run";
+                discard(call);
+                yield AttemptOutcome.NOT_RUN;
+            }
+            case MISDIRECTED -> {
+                mContext.upstreams().misdirected(assignment);
+                mLastFailure = "another upstream has the address";
+                yield AttemptOutcome.NOT_RUN;
+            }
+            case FOREIGN -> {
+                mContext.upstreams().failed(assignment);
+                mLastFailure = "the response of another request";
+                call.abort();
+                yield AttemptOutcome.MAY_HAVE_RUN;
+            }
+            case RESPONSE -> onResponse(placement, call, response);
+        };
+    }
+
+    private void discard(HttpCall call) {
+        try {
+            call.readAll(DISCARD_TIMEOUT, MAX_RESPONSE_BYTES);
+        } catch (CallFailedException e) {
+            LOG.debug("%s: %s", mRequest.id(), e.failure().describe());
+        }
+    }
+
+    private AttemptOutcome failed(Assignment assignment, Failure failure) {
+        mLastFailure = failure.describe();
+        mContext.callFailed(assignment, failure, mCancel);
+        boolean notReached = !failure.mayHaveRun() && !mCancel.isCancelled();
+        return notReached ? AttemptOutcome.NOT_REACHED : AttemptOutcome.MAY_HAVE_RUN;
+    }
+
+    private AttemptOutcome onResponse(Placement placement, HttpCall call, ClientResponse response)
+            throws CallFailedException, IOException, TimeoutException, InterruptedException {
+        int status = response.getResponseCode();
+        HeaderMap headers = mContext.protocol().responseHeaders(response);
+        if (mRoute.kind() == RequestKind.STREAM && HttpStatus.isSuccess(status)) {
+            return onStream(placement, call, status, headers);
+        }
+        byte[] body = call.readAll(left(), MAX_RESPONSE_BYTES);
+        if (HttpStatus.isServerError(status)) {
+            mContext.upstreams().failed(placement.assignment());
+            mLastFailure = "status " + status;
+            mHeld = Optional.of(new HeldResponse(status, headers, body));
+            return AttemptOutcome.MAY_HAVE_RUN;
+        }
+        mContext.upstreams().succeeded(placement.assignment());
+        if (begunStream().isPresent()) {
+            mLastFailure = "status " + status + " for the rest of a stream";
+            return AttemptOutcome.MAY_HAVE_RUN;
+        }
+        mClient.whole(status, headers, body);
+        return AttemptOutcome.ENDED;
+    }
+
+    private AttemptOutcome onStream(
+            Placement placement, HttpCall call, int status, HeaderMap headers)
+            throws CallFailedException, IOException, TimeoutException, InterruptedException {
+        StreamForward stream = mStream.orElseGet(() -> new StreamForward(mClient, status, headers));
+        mStream = Optional.of(stream);
+        long before = stream.last();
+        StreamTiming timing = forward(placement, call, stream);
+        if (!stream.isBetweenEvents()) {
+            mContext.upstreams().failed(placement.assignment());
+            mLastFailure = "the stream ended within an event";
+            return AttemptOutcome.MAY_HAVE_RUN;
+        }
+        stream.end();
+        mTracker.ifPresent(tracker -> tracker.observe(stream.last() - before, timing));
+        logStream(placement, stream, timing);
+        return AttemptOutcome.ENDED;
+    }
+
+    /** Passes a stream on until its upstream ends it. */
+    private StreamTiming forward(Placement placement, HttpCall call, StreamForward stream)
+            throws CallFailedException, IOException, TimeoutException, InterruptedException {
+        Assignment assignment = placement.assignment();
+        stream.upstreamBegins();
+        long before = stream.last();
+        StreamTiming timing = new StreamTiming(mContext.clock(), mArrivedNanos);
+        for (byte[] part = call.read(left()); part != null; part = call.read(left())) {
+            boolean first = timing.part();
+            stream.part(part);
+            mTracker.ifPresent(tracker -> tracker.generated(stream.last() - before));
+            if (first) {
+                mContext.upstreams().release(assignment);
+                mTracker.ifPresent(tracker -> tracker.endPrefill(placement));
+                mContext.upstreams().succeeded(assignment);
+            }
+        }
+        return timing;
+    }
+
+    private void logStream(Placement placement, StreamForward stream, StreamTiming timing) {
+        LOG.debug(
+                "%s: first after %d ms, longest pause %d ms, %d events from %s in %.0f ms, prompt"
+                        + " %s",
+                mRequest.id(),
+                timing.firstMillis(),
+                timing.longestPauseMillis(),
+                stream.last(),
+                placement.assignment().id(),
+                timing.durationMillis(),
+                mRequest.prompt());
+    }
+}
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RelayAnswer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/CallerResponse.java
@@ -9,24 +9,25 @@
 import java.io.IOException;
 import java.time.Duration;
 import java.util.concurrent.TimeoutException;
+import org.orchidmount.routing.FinalOutcome;
 
-/** The caller's side of a request. Used by one thread. */
-public interface RelayAnswer {
+/** The client's side of a request. Used by one thread. */
+public interface CallerResponse {
     /**
-     * Sends a whole answer of an upstream.
+     * Sends a whole response of an upstream.
      *
      * @param status its status
      * @param headers its fields
      * @param body its body
-     * @throws IOException if the caller has gone
-     * @throws TimeoutException if the caller reads too slowly
+     * @throws IOException if the client has gone
+     * @throws TimeoutException if the client reads too slowly
      * @throws InterruptedException if the thread is interrupted
      */
     void whole(int status, HeaderMap headers, byte[] body)
             throws IOException, TimeoutException, InterruptedException;
 
     /**
-     * Begins an answer that follows in parts.
+     * Begins a response that follows in parts.
      *
      * @param status its status
      * @param headers its fields
@@ -37,43 +38,33 @@
      * Sends a part.
      *
      * @param part the part
-     * @throws IOException if the caller has gone
-     * @throws TimeoutException if the caller reads too slowly
+     * @throws IOException if the client has gone
+     * @throws TimeoutException if the client reads too slowly
      * @throws InterruptedException if the thread is interrupted
      */
     void part(byte[] part) throws IOException, TimeoutException, InterruptedException;
 
     /**
-     * Ends an answer in parts.
+     * Ends a response in parts.
      *
-     * @throws IOException if the caller has gone
-     * @throws TimeoutException if the caller reads too slowly
+     * @throws IOException if the client has gone
+     * @throws TimeoutException if the client reads too slowly
      * @throws InterruptedException if the thread is interrupted
      */
     void end() throws IOException, TimeoutException, InterruptedException;
 
-    /** Cuts off an answer that has begun, so that the caller sees it is not whole. */
+    /** Cuts off a response that has begun, so that the client sees it is not whole. */
     void cut();
 
     /**
-     * Tells the caller that there is no answer of an upstream.
+     * Refuses a request that no upstream has answered.
      *
-     * @param ending why
-     * @param retryAfter when a new try may succeed; for those that have not run
-     * @throws IOException if the caller has gone
-     * @throws TimeoutException if the caller reads too slowly
+     * @param outcome what is known of it
+     * @param retryAfter when to come back; of use only if the request has not run
+     * @throws IOException if the client has gone
+     * @throws TimeoutException if the client reads too slowly
      * @throws InterruptedException if the thread is interrupted
      */
-    void refuse(Ending ending, Duration retryAfter)
+    void refuse(FinalOutcome outcome, Duration retryAfter)
             throws IOException, TimeoutException, InterruptedException;
-
-    /** Why a request has no answer of an upstream. */
-    enum Ending {
-        /** It has not run and will not. */
-        NOT_RUN,
-        /** It may have run. */
-        FAILED,
-        /** Its time is over, and it may have run. */
-        LATE
-    }
 }
--- /dev/null
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/EnginePlacer.java
@@ -0,0 +1,249 @@
+/*
+ * Copyright (C) 2026, the Orchidmount authors
+ *
+ * SPDX-License-Identifier: Apache-2.0
+ */
+package org.orchidmount.relay;
+
+import java.time.Duration;
+import java.util.HashSet;
+import java.util.Optional;
+import java.util.Set;
+import org.orchidmount.load.InFlightSequence;
+import org.orchidmount.membership.Registration.Stage;
+import org.orchidmount.routes.Service;
+import org.orchidmount.routing.MemoryRule;
+import org.orchidmount.routing.MemoryWaitRule;
+import org.orchidmount.routing.OutputLengthEstimator;
+import org.orchidmount.routing.PrefillRule;
+import org.orchidmount.routing.UpstreamCost;
+import org.orchidmount.upstream.CancelSignal;
+
+/**
+ * Finds a decode engine for one request and reserves memory there, before its prompt is prefilled.
+ *
+ * <p>It carries out {@link MemoryRule}, {@link MemoryWaitRule} and {@link PrefillRule}. Invariant:
+ * what was reserved or announced and is not used is released. Used by one virtual thread.
+ */
+final class EnginePlacer {
+    /** Pause between two looks for room. Chosen: some refreshes of what others announce. */
+    private static final Duration POLL = Duration.ofMillis(45);
+
+    /** How long an announcement takes to all instances: 15 ms was too short (score b7228a81). */
+    private static final Duration ANNOUNCED_AFTER = Duration.ofMillis(30);
+
+    private final RelayContext mContext;
+    private final RelayRequest mRequest;
+    private final RelayRequest.Prompt mPrompt;
+    private final Service mService;
+    private final CancelSignal mCancel;
+    private final OutputLengthEstimator.Stated mStated;
+    private final InFlightSequence mOutput;
+    private final Duration mLongestWait;
+    private final SequenceTracker mTracker;
+    private final Prefiller mPrefiller;
+    private final MemoryReservations mReservations;
+
+    EnginePlacer(
+            RelayContext context,
+            RelayRequest request,
+            RelayRequest.Prompt prompt,
+            Service service,
+            CancelSignal cancel) {
+        mContext = context;
+        mRequest = request;
+        mPrompt = prompt;
+        mService = service;
+        mCancel = cancel;
+        mStated =
+                new OutputLengthEstimator.Stated(
+                        prompt.expectedOutputTokens(), prompt.maxOutputTokens());
+        context.outputLengths().observe(mStated);
+        mOutput =
+                InFlightSequence.ofOutput(
+                        request.id(),
+                        prompt.tokens(),
+                        context.outputLengths().expect(mStated),
+                        prompt.maxOutputTokens() > 0
+                                ? prompt.maxOutputTokens()
+                                : Integer.MAX_VALUE);
+        mLongestWait = longestWait();
+        mTracker = new SequenceTracker(context, service);
+        mPrefiller = new Prefiller(context, request, prompt, service, mTracker, cancel);
+        mReservations = new MemoryReservations(context, request.id(), cancel);
+    }
+
+    Prefiller prefiller() {
+        return mPrefiller;
+    }
+
+    SequenceTracker tracker() {
+        return mTracker;
+    }
+
+    private Duration longestWait() {
+        Duration target = mRequest.route().target();
+        Duration clientWait =
+                Duration.ofNanos(mRequest.callerEndNanos() - mContext.clock().nanoTime());
+        if (mContext.clientRetries().isRetry(mRequest.route().name(), clientWait)) {
+            return MemoryWaitRule.forClientRetry(target);
+        }
+        int tokens = mOutput.promptTokens() + mOutput.expectedTokens();
+        return MemoryWaitRule.forNewRequest(mContext.outputLengths().relativeSize(tokens), target);
+    }
+
+    /**
+     * Waits for an engine with room and reserves memory there.
+     *
+     * @param tried the engines that the request has tried
+     * @return the place; nothing if none was found in time
+     * @throws InterruptedException if the thread is interrupted
+     */
+    Optional<Placement> place(Set<String> tried) throws InterruptedException {
+        long untilNanos = mContext.clock().nanoTime() + mLongestWait.toNanos();
+        while (!mCancel.isCancelled()) {
+            Optional<Placement> placement = placeByChoice(tried);
+            long nowNanos = mContext.clock().nanoTime();
+            if (placement.isPresent() || nowNanos - untilNanos > 0) {
+                return placement;
+            }
+            Thread.sleep(POLL);
+        }
+        return Optional.empty();
+    }
+
+    private Optional<Placement> placeByChoice(Set<String> tried) throws InterruptedException {
+        PrefillRule.Choice choice = mPrefiller.choice();
+        if (choice != PrefillRule.Choice.UNSPLIT_IF_IDLE_ELSE_SPLIT) {
+            return placeNow(tried, choice);
+        }
+        Optional<Placement> idle = placeNow(tried, PrefillRule.Choice.UNSPLIT_IF_IDLE);
+        return idle.isPresent() ? idle : placeNow(tried, PrefillRule.Choice.SPLIT);
+    }
+
+    private Optional<Placement> placeNow(Set<String> tried, PrefillRule.Choice choice)
+            throws InterruptedException {
+        Set<String> excluded = excluded(choice);
+        Set<String> refused = new HashSet<>(tried);
+        while (true) {
+            boolean first = refused.size() == tried.size();
+            Optional<Assignment> assignment =
+                    mContext.upstreams().assign(need(first, excluded), refused);
+            if (assignment.isEmpty()) {
+                return Optional.empty();
+            }
+            if (!refused.add(assignment.get().id()) && !first) {
+                mContext.upstreams().release(assignment.get());
+                return Optional.empty();
+            }
+            Optional<Placement> placement = placeAt(assignment.get(), choice);
+            if (placement.isPresent()) {
+                return placement;
+            }
+            mContext.upstreams().release(assignment.get());
+        }
+    }
+
+    private Optional<Placement> placeAt(Assignment assignment, PrefillRule.Choice choice)
+            throws InterruptedException {
+        Optional<String> reservation = mReservations.reserve(assignment, reservedTokens());
+        if (reservation.isEmpty()) {
+            return Optional.empty();
+        }
+        Placement placement = announce(assignment, reservation, choice);
+        if (keepsPlace(placement)) {
+            return Optional.of(placement);
+        }
+        mTracker.end(placement);
+        release(placement);
+        return Optional.empty();
+    }
+
+    private Placement announce(
+            Assignment assignment, Optional<String> reservation, PrefillRule.Choice choice) {
+        Optional<InFlightSequence> prefill = Optional.empty();
+        if (choice != PrefillRule.Choice.SPLIT) {
+            InFlightSequence unplaced = InFlightSequence.ofPrefill(mRequest.id(), mPrompt.tokens());
+            prefill = Optional.of(mTracker.begin(unplaced, assignment));
+        }
+        InFlightSequence output = mTracker.begin(mOutput, assignment);
+        return new Placement(assignment, reservation, Optional.of(output), prefill);
+    }
+
+    /** Names the engines that have no room, or that the choice rules out. */
+    private Set<String> excluded(PrefillRule.Choice choice) {
+        Set<String> excluded = new HashSet<>();
+        mService.engine()
+                .map(engine -> mContext.loads().saturatedEngines(mOutput, engine.memoryTokens()))
+                .ifPresent(excluded::addAll);
+        if (choice == PrefillRule.Choice.UNSPLIT_IF_IDLE) {
+            excluded.addAll(
+                    mContext.upstreams().unfit(mService.name(), Stage.DECODE, this::isNearlyIdle));
+        }
+        return excluded;
+    }
+
+    private boolean isNearlyIdle(String upstreamId) {
+        return PrefillRule.isNearlyIdle(
+                mPrompt.tokens(),
+                memoryShare(upstreamId),
+                mContext.loads().prefillBacklogTokens(upstreamId),
+                mRequest.route().longestPause().toMillis());
+    }
+
+    /**
+     * Checks a placement again once all instances have received it. Where the engine has much room,
+     * that need not be waited for.
+     */
+    private boolean keepsPlace(Placement placement) throws InterruptedException {
+        if (mService.engine().isEmpty()) {
+            return true;
+        }
+        long memoryTokens = mService.engine().get().memoryTokens();
+        long roomyTokens = MemoryRule.roomyTokens(memoryTokens);
+        String engine = placement.assignment().id();
+        if (!mContext.loads().saturatedEngines(mOutput, roomyTokens).contains(engine)) {
+            return true;
+        }
+        Thread.sleep(ANNOUNCED_AFTER);
+        return mContext.loads().keepsPlace(placement.output().orElseThrow(), memoryTokens);
+    }
+
+    private int reservedTokens() {
+        return MemoryRule.reservedTokens(
+                mPrompt.tokens(),
+                mOutput.maxOutputTokens(),
+                mContext.outputLengths().reserve(mStated),
+                mContext.announcer().isComplete());
+    }
+
+    private UpstreamDirectory.Need need(boolean mayTakeTried, Set<String> excluded) {
+        return new UpstreamDirectory.Need(
+                mService.name(),
+                Stage.DECODE,
+                PrefillRule.requestMillis(mPrompt.tokens()),
+                UpstreamCost.OTHER_ZONE_ENGINE_MILLIS,
+                mayTakeTried,
+                excluded,
+                this::backlogMillis);
+    }
+
+    /** Prefers engines whose memory is less full and that have less to prefill. */
+    private double backlogMillis(String upstreamId, double ownMillis) {
+        int prefillTokens = mContext.loads().prefillBacklogTokens(upstreamId);
+        return ownMillis
+                + PrefillRule.decodeEngineMillis(prefillTokens)
+                + UpstreamCost.memoryMillis(memoryShare(upstreamId));
+    }
+
+    private double memoryShare(String upstreamId) {
+        double memoryTokens = mService.engine().map(Service.Engine::memoryTokens).orElse(0L);
+        double usedTokens = mContext.loads().usedMemoryTokens(upstreamId);
+        return memoryTokens > 0 ? usedTokens / memoryTokens : 0;
+    }
+
+    /** Releases the memory of a placement that the request did not use. */
+    void release(Placement placement) {
+        mReservations.release(placement);
+    }
+}
--- /dev/null
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/MemoryReservations.java
@@ -0,0 +1,85 @@
+/*
+ * Copyright (C) 2026, the Orchidmount authors
+ *
+ * SPDX-License-Identifier: Apache-2.0
+ */
+package org.orchidmount.relay;
+
+import io.undertow.client.ClientResponse;
+import java.io.IOException;
+import java.time.Duration;
+import java.util.Optional;
+import org.orchidmount.errors.CallFailedException;
+import org.orchidmount.errors.Step;
+import org.orchidmount.internal.http.HttpCall;
+import org.orchidmount.internal.http.HttpHead;
+import org.orchidmount.internal.log.PartLog;
+import org.orchidmount.upstream.CancelSignal;
+
+/** Reserves memory at engines for one request, and releases it. Used by one virtual thread. */
+final class MemoryReservations {
+    private static final PartLog LOG = PartLog.of("engine");
+
+    /** How long an engine keeps memory that is not used: longer than a prefill takes. Chosen. */
+    private static final Duration LIFE = Duration.ofMillis(1_800);
+
+    /** An engine answers at once, so one that does not is given up. Chosen, not measured. */
+    private static final Duration TIMEOUT = Duration.ofMillis(300);
+
+    private final RelayContext mContext;
+    private final String mRequestId;
+    private final CancelSignal mCancel;
+
+    MemoryReservations(RelayContext context, String requestId, CancelSignal cancel) {
+        mContext = context;
+        mRequestId = requestId;
+        mCancel = cancel;
+    }
+
+    /**
+     * Reserves memory.
+     *
+     * @param assignment the engine
+     * @param tokens how much
+     * @return the reservation's name; nothing if the engine has no room or fails
+     */
+    Optional<String> reserve(Assignment assignment, int tokens) {
+        UpstreamProtocol protocol = mContext.protocol();
+        HttpHead head = protocol.reserve(assignment.id());
+        byte[] body = protocol.reservation(tokens, LIFE);
+        try (HttpCall call =
+                        mContext.connections()
+                                .call(assignment.peer(), Step.ADMIT, head, body, TIMEOUT);
+                CancelSignal.Registration _ = mCancel.onCancel(call::abort)) {
+            ClientResponse response = call.awaitResponse(TIMEOUT);
+            call.limitIdle(protocol.idleTimeout(response));
+            byte[] answer = call.readAll(TIMEOUT, RelayContext.MAX_CONTROL_BYTES);
+            if (!HttpStatus.isOk(response.getResponseCode())) {
+                LOG.debug(
+                        "%s: %d tokens not reserved at %s: status %d",
+                        mRequestId, tokens, assignment.id(), response.getResponseCode());
+                return Optional.empty();
+            }
+            return Optional.of(protocol.reserved(answer));
+        } catch (CallFailedException e) {
+            mContext.callFailed(assignment, e.failure(), mCancel);
+        } catch (IOException e) {
+            LOG.info(
+                    "%s: the reservation at %s cannot be read: %s",
+                    mRequestId, assignment.id(), e.getMessage());
+            mContext.upstreams().failed(assignment);
+        }
+        return Optional.empty();
+    }
+
+    /** Releases the memory of a placement that the request did not use. */
+    void release(Placement placement) {
+        placement
+                .reservation()
+                .ifPresent(
+                        name ->
+                                mContext.send(
+                                        placement.assignment().peer(),
+                                        mContext.protocol().unreserve(name)));
+    }
+}
--- /dev/null
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Placement.java
@@ -0,0 +1,33 @@
+/*
+ * Copyright (C) 2026, the Orchidmount authors
+ *
+ * SPDX-License-Identifier: Apache-2.0
+ */
+package org.orchidmount.relay;
+
+import java.util.Optional;
+import org.orchidmount.load.InFlightSequence;
+
+/**
+ * A place at an upstream for one attempt. Immutable.
+ *
+ * @param assignment the work in this instance's directory
+ * @param reservation the name of the memory reserved at the upstream, if any
+ * @param output the output that was announced, if any
+ * @param prefill the prefill that was announced, if the same engine does it
+ */
+record Placement(
+        Assignment assignment,
+        Optional<String> reservation,
+        Optional<InFlightSequence> output,
+        Optional<InFlightSequence> prefill) {
+    /** Returns a place at an upstream where nothing is reserved or announced. */
+    static Placement atPlainService(Assignment assignment) {
+        return new Placement(assignment, Optional.empty(), Optional.empty(), Optional.empty());
+    }
+
+    /** Tells whether the engine of the place prefills the prompt itself. */
+    boolean isUnsplit() {
+        return prefill.isPresent();
+    }
+}
--- /dev/null
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Prefiller.java
@@ -0,0 +1,207 @@
+/*
+ * Copyright (C) 2026, the Orchidmount authors
+ *
+ * SPDX-License-Identifier: Apache-2.0
+ */
+package org.orchidmount.relay;
+
+import io.undertow.client.ClientResponse;
+import java.io.IOException;
+import java.time.Duration;
+import java.util.HashSet;
+import java.util.Optional;
+import java.util.Set;
+import org.orchidmount.cluster.HostPort;
+import org.orchidmount.errors.CallFailedException;
+import org.orchidmount.errors.Step;
+import org.orchidmount.internal.http.HttpCall;
+import org.orchidmount.internal.http.HttpHead;
+import org.orchidmount.internal.http.Peer;
+import org.orchidmount.internal.log.PartLog;
+import org.orchidmount.load.InFlightSequence;
+import org.orchidmount.membership.Registration.Stage;
+import org.orchidmount.relay.UpstreamCall.Phase;
+import org.orchidmount.routes.Service;
+import org.orchidmount.routing.PrefillRule;
+import org.orchidmount.routing.PrefillTimeoutRule;
+import org.orchidmount.routing.UpstreamCost;
+import org.orchidmount.upstream.CancelSignal;
+
+/**
+ * Has the prompt of one request prefilled by prefill engines.
+ *
+ * <p>Invariant: a KV cache that no engine has taken is freed. Used by one virtual thread.
+ */
+final class Prefiller {
+    private static final PartLog LOG = PartLog.of("prefill");
+
+    /** The rest of an answer whose head has come. Chosen, not measured. */
+    private static final Duration BODY_TIMEOUT = Duration.ofMillis(500);
+
+    /** A KV cache is used again within this time: half of the 500 ms that engines keep it. */
+    private static final Duration REUSE_WITHIN = Duration.ofMillis(250);
+
+    /** Engines asked in turn, so that one silent engine costs one wait. Chosen, not measured. */
+    private static final int MAX_ENGINES = 2;
+
+    private final RelayContext mContext;
+    private final RelayRequest mRequest;
+    private final RelayRequest.Prompt mPrompt;
+    private final Service mService;
+    private final SequenceTracker mTracker;
+    private final CancelSignal mCancel;
+    private int mCalls;
+    private Optional<KvCacheRef> mUnused = Optional.empty();
+    private long mPrefilledNanos;
+
+    Prefiller(
+            RelayContext context,
+            RelayRequest request,
+            RelayRequest.Prompt prompt,
+            Service service,
+            SequenceTracker tracker,
+            CancelSignal cancel) {
+        mContext = context;
+        mRequest = request;
+        mPrompt = prompt;
+        mService = service;
+        mTracker = tracker;
+        mCancel = cancel;
+    }
+
+    /** Chooses by the load of the prefill engines where the prompt is prefilled. */
+    PrefillRule.Choice choice() {
+        return PrefillRule.choose(
+                mContext.upstreams().estimateMillis(need()), mRequest.route().target().toMillis());
+    }
+
+    private UpstreamDirectory.Need need() {
+        return new UpstreamDirectory.Need(
+                mService.name(),
+                Stage.PREFILL,
+                PrefillRule.prefillEngineMillis(mPrompt.tokens()),
+                UpstreamCost.OTHER_ZONE_ENGINE_MILLIS,
+                false,
+                Set.of(),
+                this::backlogMillis);
+    }
+
+    /** Counts what all instances have given an engine to prefill. */
+    private double backlogMillis(String upstreamId, double ownMillis) {
+        int tokens = mContext.loads().prefillBacklogTokens(upstreamId);
+        return Math.max(ownMillis, PrefillRule.prefillEngineMillis(tokens));
+    }
+
+    /**
+     * Has the prompt prefilled if a prefill engine takes work. A KV cache that was made shortly
+     * before, and was not used, is returned again.
+     *
+     * @return where the KV cache is; nothing if no engine has prefilled the prompt
+     */
+    Optional<KvCacheRef> prefill() {
+        boolean fresh = mContext.clock().nanoTime() - mPrefilledNanos < REUSE_WITHIN.toNanos();
+        if (mUnused.isPresent() && fresh) {
+            return mUnused;
+        }
+        freeUnused();
+        Set<String> asked = new HashSet<>();
+        while (mUnused.isEmpty() && mayAsk(asked.size())) {
+            Optional<Assignment> assignment = mContext.upstreams().assign(need(), asked);
+            if (assignment.isEmpty()) {
+                break;
+            }
+            asked.add(assignment.get().id());
+            mUnused = prefillAt(assignment.get());
+        }
+        return mUnused;
+    }
+
+    /** Every call but the request's first takes from the retry budget. */
+    private boolean mayAsk(int asked) {
+        return !mCancel.isCancelled()
+                && asked < MAX_ENGINES
+                && (mCalls == 0 || mContext.retryBudget(mService.name()).tryTake());
+    }
+
+    private Optional<KvCacheRef> prefillAt(Assignment assignment) {
+        mCalls++;
+        InFlightSequence unplaced = InFlightSequence.ofPrefill(mRequest.id(), mPrompt.tokens());
+        InFlightSequence sequence = mTracker.begin(unplaced, assignment);
+        try {
+            Optional<KvCacheRef> cache = call(assignment);
+            mPrefilledNanos = mContext.clock().nanoTime();
+            return cache;
+        } finally {
+            mTracker.end(sequence);
+            mContext.upstreams().release(assignment);
+        }
+    }
+
+    private Optional<KvCacheRef> call(Assignment assignment) {
+        UpstreamProtocol protocol = mContext.protocol();
+        UpstreamCall prefill =
+                new UpstreamCall(
+                        assignment.id(),
+                        left(),
+                        Phase.PREFILL,
+                        Optional.empty(),
+                        Optional.empty(),
+                        0);
+        HttpHead head = protocol.head(mRequest, prefill);
+        try (HttpCall call =
+                        mContext.connections()
+                                .call(
+                                        assignment.peer(),
+                                        Step.PREFILL,
+                                        head,
+                                        mRequest.body(),
+                                        left());
+                CancelSignal.Registration _ = mCancel.onCancel(call::abort)) {
+            ClientResponse response = call.awaitResponse(silenceLimit(assignment));
+            call.limitIdle(protocol.idleTimeout(response));
+            byte[] body = call.readAll(BODY_TIMEOUT, RelayContext.MAX_CONTROL_BYTES);
+            if (!HttpStatus.isOk(response.getResponseCode())) {
+                LOG.debug(
+                        "%s: not prefilled at %s: status %d",
+                        mRequest.id(), assignment.id(), response.getResponseCode());
+                mContext.upstreams().saturated(assignment);
+                return Optional.empty();
+            }
+            mContext.upstreams().succeeded(assignment);
+            String address = assignment.peer().host() + ":" + assignment.peer().port();
+            return Optional.of(new KvCacheRef(address, protocol.handle(body)));
+        } catch (CallFailedException e) {
+            mContext.callFailed(assignment, e.failure(), mCancel);
+        } catch (IOException e) {
+            LOG.info(
+                    "%s: the prefill at %s cannot be read: %s",
+                    mRequest.id(), assignment.id(), e.getMessage());
+            mContext.upstreams().failed(assignment);
+        }
+        return Optional.empty();
+    }
+
+    private Duration left() {
+        return mRequest.left(mContext.clock().nanoTime());
+    }
+
+    private Duration silenceLimit(Assignment assignment) {
+        return PrefillTimeoutRule.silenceLimit(assignment.ordinaryMillis(), left());
+    }
+
+    /** Frees a KV cache that no engine has taken. */
+    void freeUnused() {
+        mUnused.ifPresent(
+                cache -> {
+                    HostPort address = HostPort.parse(cache.address());
+                    Peer peer = new Peer(cache.address(), address.host(), address.port());
+                    mContext.send(peer, mContext.protocol().freeHandle(cache.handle()));
+                });
+        mUnused = Optional.empty();
+    }
+
+    /** Notes that an engine has taken the KV cache. */
+    void used() {
+        mUnused = Optional.empty();
+    }
+}
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Relay.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Relay.java
@@ -6,59 +6,53 @@
 package org.orchidmount.relay;
 
 import java.io.IOException;
-import java.time.Duration;
+import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeoutException;
 import java.util.function.IntSupplier;
 import org.orchidmount.clock.MonotonicClock;
 import org.orchidmount.internal.http.HttpConnections;
+import org.orchidmount.limits.WindowRetryBudget;
 import org.orchidmount.load.EngineLoads;
-import org.orchidmount.load.RunNews;
+import org.orchidmount.load.SequenceAnnouncer;
 import org.orchidmount.routes.Service;
+import org.orchidmount.routing.ClientRetryDetector;
+import org.orchidmount.routing.OutputLengthEstimator;
 import org.orchidmount.upstream.CancelSignal;
 
-/** Carries requests to upstreams. Thread-safe. */
+/** Serves requests by upstreams that register themselves. Thread-safe. */
 public final class Relay {
-    private final RelayParts mParts;
-
-    /**
-     * What all instances together may add in attempts beyond the first.
-     *
-     * @param ratio extra attempts for each request
-     * @param window the span over which is counted
-     * @param slack extra attempts beyond the ratio in each span
-     */
-    public record RetryLimit(double ratio, Duration window, int slack) {}
+    private final RelayContext mContext;
 
     /**
      * Creates a relay.
      *
-     * @param book the upstreams
-     * @param limit the limit on attempts
-     * @param loads the answers that engines are making
-     * @param news tells the other instances of them
-     * @param entries how many instances share the limit
+     * @param upstreams the upstreams known here
+     * @param retryLimit the limit on the retries of all instances together
+     * @param instances how many instances share that limit now
+     * @param loads the sequences in flight at engines
+     * @param announcer announces sequences to the other instances
      * @param connections connections to upstreams
      * @param protocol what upstreams speak
      * @param clock the clock
      */
     public Relay(
-            UpstreamBook book,
-            RetryLimit limit,
+            UpstreamDirectory upstreams,
+            WindowRetryBudget.Limit retryLimit,
+            IntSupplier instances,
             EngineLoads loads,
-            RunNews news,
-            IntSupplier entries,
+            SequenceAnnouncer announcer,
             HttpConnections connections,
             UpstreamProtocol protocol,
             MonotonicClock clock) {
-        mParts =
-                new RelayParts(
-                        book,
-                        new ExtraAttempts(limit),
-                        new AnswerSizes(),
-                        new ReturningRequests(),
+        mContext =
+                new RelayContext(
+                        upstreams,
+                        new ConcurrentHashMap<>(),
+                        () -> new WindowRetryBudget(retryLimit, instances, clock),
+                        new OutputLengthEstimator(),
+                        new ClientRetryDetector(),
                         loads,
-                        news,
-                        entries,
+                        announcer,
                         connections,
                         protocol,
                         clock);
@@ -69,15 +63,15 @@
      *
      * @param request the request
      * @param service the service chosen for it, one of the route's
-     * @param answer the caller's side
-     * @param cancel told when the caller goes
-     * @throws IOException if the caller has gone
-     * @throws TimeoutException if the caller reads too slowly
+     * @param client the client's side
+     * @param cancel told when the client goes
+     * @throws IOException if the client has gone
+     * @throws TimeoutException if the client reads too slowly
      * @throws InterruptedException if the thread is interrupted
      */
     public void serve(
-            RelayRequest request, Service service, RelayAnswer answer, CancelSignal cancel)
+            RelayRequest request, Service service, CallerResponse client, CancelSignal cancel)
             throws IOException, TimeoutException, InterruptedException {
-        new RelayRun(mParts, request, service, answer, cancel).run();
+        new RequestRelay(mContext, request, service, client, cancel).run();
     }
 }
--- /dev/null
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RelayContext.java
@@ -0,0 +1,92 @@
+/*
+ * Copyright (C) 2026, the Orchidmount authors
+ *
+ * SPDX-License-Identifier: Apache-2.0
+ */
+package org.orchidmount.relay;
+
+import java.time.Duration;
+import java.util.concurrent.ConcurrentMap;
+import java.util.function.Supplier;
+import org.orchidmount.clock.MonotonicClock;
+import org.orchidmount.errors.CallFailedException;
+import org.orchidmount.errors.Failure;
+import org.orchidmount.errors.Step;
+import org.orchidmount.internal.http.HttpCall;
+import org.orchidmount.internal.http.HttpConnections;
+import org.orchidmount.internal.http.HttpHead;
+import org.orchidmount.internal.http.Peer;
+import org.orchidmount.internal.log.PartLog;
+import org.orchidmount.limits.RetryBudget;
+import org.orchidmount.load.EngineLoads;
+import org.orchidmount.load.SequenceAnnouncer;
+import org.orchidmount.routing.ClientRetryDetector;
+import org.orchidmount.routing.OutputLengthEstimator;
+import org.orchidmount.upstream.CancelSignal;
+
+/**
+ * What all requests share. Every part is thread-safe.
+ *
+ * @param upstreams the upstreams known here
+ * @param retryBudgets the retry budget of each service
+ * @param newRetryBudget creates the budget of a service that has none yet
+ * @param outputLengths estimates the lengths of outputs
+ * @param clientRetries tells retries of clients from new requests
+ * @param loads the sequences in flight at engines
+ * @param announcer announces sequences to the other instances
+ * @param connections connections to upstreams
+ * @param protocol what upstreams speak
+ * @param clock the clock
+ */
+record RelayContext(
+        UpstreamDirectory upstreams,
+        ConcurrentMap<String, RetryBudget> retryBudgets,
+        Supplier<RetryBudget> newRetryBudget,
+        OutputLengthEstimator outputLengths,
+        ClientRetryDetector clientRetries,
+        EngineLoads loads,
+        SequenceAnnouncer announcer,
+        HttpConnections connections,
+        UpstreamProtocol protocol,
+        MonotonicClock clock) {
+    /** Bytes of the answer to a call other than a request; far more than any has. Chosen. */
+    static final int MAX_CONTROL_BYTES = 64 * 1024;
+
+    private static final PartLog LOG = PartLog.of("engine");
+
+    /** The answer to a release does not matter, so little is waited for. Chosen. */
+    private static final Duration SEND_TIMEOUT = Duration.ofMillis(500);
+
+    /** Returns the retry budget of a service. */
+    RetryBudget retryBudget(String service) {
+        return retryBudgets.computeIfAbsent(service, name -> newRetryBudget.get());
+    }
+
+    /** Learns from a call that failed, unless it failed because its client had gone. */
+    void callFailed(Assignment assignment, Failure failure, CancelSignal cancel) {
+        LOG.debug(failure.describe());
+        if (cancel.isCancelled()) {
+            return;
+        }
+        if (failure.mayHaveRun()) {
+            upstreams.failed(assignment);
+        } else {
+            upstreams.unreachable(assignment);
+        }
+    }
+
+    /** Makes a call whose answer does not matter, on a thread of its own. */
+    void send(Peer peer, HttpHead head) {
+        Thread.ofVirtual()
+                .name("release")
+                .start(
+                        () -> {
+                            try (HttpCall call = connections.call(peer, Step.CANCEL, head)) {
+                                call.awaitResponse(SEND_TIMEOUT);
+                                call.readAll(SEND_TIMEOUT, MAX_CONTROL_BYTES);
+                            } catch (CallFailedException e) {
+                                LOG.debug("not released: %s", e.failure().describe());
+                            }
+                        });
+    }
+}
--- /dev/null
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RequestRelay.java
@@ -0,0 +1,179 @@
+/*
+ * Copyright (C) 2026, the Orchidmount authors
+ *
+ * SPDX-License-Identifier: Apache-2.0
+ */
+package org.orchidmount.relay;
+
+import java.io.IOException;
+import java.time.Duration;
+import java.util.HashSet;
+import java.util.Optional;
+import java.util.Set;
+import java.util.concurrent.ThreadLocalRandom;
+import java.util.concurrent.TimeoutException;
+import org.orchidmount.internal.log.PartLog;
+import org.orchidmount.limits.RetryBudget;
+import org.orchidmount.membership.Registration.Stage;
+import org.orchidmount.relay.AttemptRunner.HeldResponse;
+import org.orchidmount.routes.Service;
+import org.orchidmount.routing.AttemptOutcome;
+import org.orchidmount.routing.AttemptRule;
+import org.orchidmount.routing.FinalOutcome;
+import org.orchidmount.routing.RetryAfter;
+import org.orchidmount.routing.UpstreamCost;
+import org.orchidmount.upstream.CancelSignal;
+
+/**
+ * Serves one request to registered upstreams to its end: place, attempt, again or give up.
+ *
+ * <p>It carries out {@link AttemptRule}, {@link FinalOutcome} and {@link RetryAfter}. Invariants: a
+ * request that must not run twice is handed to another upstream only after each one before has said
+ * that it has not run it, or was never reached; "not run" is said only if that holds for all.
+ * Retries of this path happen here and nowhere below. Used by one virtual thread.
+ */
+final class RequestRelay {
+    private static final PartLog LOG = PartLog.of("relay");
+
+    private final RelayContext mContext;
+    private final RelayRequest mRequest;
+    private final Service mService;
+    private final RetryBudget mBudget;
+    private final CallerResponse mClient;
+    private final CancelSignal mCancel;
+    private final Optional<EnginePlacer> mEngines;
+    private final AttemptRunner mAttempts;
+    private final Set<String> mTried = new HashSet<>();
+    private AttemptRule.History mHistory = AttemptRule.History.NONE;
+    private boolean mLastHadNoRoom;
+
+    RequestRelay(
+            RelayContext context,
+            RelayRequest request,
+            Service service,
+            CallerResponse client,
+            CancelSignal cancel) {
+        mContext = context;
+        mRequest = request;
+        mService = service;
+        mBudget = context.retryBudget(service.name());
+        mClient = client;
+        mCancel = cancel;
+        mEngines =
+                request.prompt()
+                        .map(prompt -> new EnginePlacer(context, request, prompt, service, cancel));
+        mAttempts =
+                new AttemptRunner(
+                        context, request, client, cancel, mEngines.map(EnginePlacer::tracker));
+    }
+
+    /** Serves the request to its end. */
+    void run() throws IOException, TimeoutException, InterruptedException {
+        mBudget.countRequest();
+        while (mayTry()) {
+            Optional<Placement> placement = place();
+            if (placement.isEmpty()) {
+                break;
+            }
+            AttemptOutcome outcome = attemptAt(placement.get());
+            if (outcome == AttemptOutcome.ENDED) {
+                return;
+            }
+            note(placement.get(), outcome);
+        }
+        mEngines.ifPresent(engines -> engines.prefiller().freeUnused());
+        giveUp();
+    }
+
+    private boolean mayTry() {
+        return !mCancel.isCancelled()
+                && AttemptRule.mayTry(mHistory, mRequest.route().attemptLimits(), left())
+                && (!AttemptRule.takesFromBudget(mHistory) || mBudget.tryTake());
+    }
+
+    private Duration left() {
+        return Duration.ofNanos(mRequest.endNanos() - mContext.clock().nanoTime());
+    }
+
+    private void note(Placement placement, AttemptOutcome outcome) {
+        String upstreamId = placement.assignment().id();
+        mTried.add(upstreamId);
+        mLastHadNoRoom = outcome == AttemptOutcome.NOT_RUN;
+        mHistory = mHistory.after(outcome);
+        LOG.debug(
+                "%s: attempt %d at %s: %s, %s",
+                mRequest.id(), mHistory.attempts(), upstreamId, outcome, mAttempts.lastFailure());
+    }
+
+    /** Finds a place at an upstream, with memory reserved where that is needed. */
+    private Optional<Placement> place() throws InterruptedException {
+        if (mEngines.isPresent()) {
+            return mEngines.get().place(mTried);
+        }
+        UpstreamDirectory.Need need =
+                new UpstreamDirectory.Need(
+                        mService.name(),
+                        Stage.NONE,
+                        UpstreamCost.PLAIN_REQUEST_MILLIS,
+                        UpstreamCost.OTHER_ZONE_PLAIN_MILLIS,
+                        !mLastHadNoRoom,
+                        Set.of(),
+                        UpstreamDirectory.Backlog.OWN);
+        return mContext.upstreams().assign(need, mTried).map(Placement::atPlainService);
+    }
+
+    private AttemptOutcome attemptAt(Placement placement)
+            throws IOException, TimeoutException, InterruptedException {
+        try {
+            AttemptOutcome outcome = mAttempts.run(placement, prefill(placement), mHistory);
+            mEngines.ifPresent(engines -> settle(engines, placement, outcome));
+            return outcome;
+        } finally {
+            mEngines.ifPresent(engines -> engines.tracker().end(placement));
+            mContext.upstreams().release(placement.assignment());
+        }
+    }
+
+    private Optional<KvCacheRef> prefill(Placement placement) {
+        return placement.isUnsplit()
+                ? Optional.empty()
+                : mEngines.flatMap(engines -> engines.prefiller().prefill());
+    }
+
+    /** Releases what an engine has not taken; notes what it may have taken as used. */
+    private static void settle(EnginePlacer engines, Placement placement, AttemptOutcome outcome) {
+        boolean untouched =
+                outcome == AttemptOutcome.NOT_RUN || outcome == AttemptOutcome.NOT_REACHED;
+        if (untouched) {
+            engines.release(placement);
+        } else {
+            engines.prefiller().used();
+        }
+    }
+
+    /** Ends a request that no upstream has answered to its end. */
+    private void giveUp() throws IOException, TimeoutException, InterruptedException {
+        if (mCancel.isCancelled()) {
+            return;
+        }
+        if (mAttempts.begunStream().isPresent()) {
+            long last = mAttempts.begunStream().get().last();
+            LOG.info("%s: cut after event %d: %s", mRequest.id(), last, mAttempts.lastFailure());
+            mClient.cut();
+        } else if (mAttempts.held().isPresent()) {
+            HeldResponse held = mAttempts.held().get();
+            mClient.whole(held.status(), held.headers(), held.body());
+        } else {
+            refuse();
+        }
+    }
+
+    private void refuse() throws IOException, TimeoutException, InterruptedException {
+        FinalOutcome outcome = FinalOutcome.of(mHistory, !left().isPositive());
+        LOG.info(
+                "%s: %s after %d attempts: %s",
+                mRequest.id(), outcome, mHistory.attempts(), mAttempts.lastFailure());
+        mClient.refuse(
+                outcome, RetryAfter.noRoom(mEngines.isPresent(), ThreadLocalRandom.current()));
+    }
+}
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Verdict.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/ResponseKind.java
@@ -5,14 +5,14 @@
  */
 package org.orchidmount.relay;
 
-/** What the head of an upstream's answer means. */
-public enum Verdict {
-    /** The answer of the upstream to this request, whatever its status. */
-    ANSWER,
+/** What the head of an upstream's response means. */
+public enum ResponseKind {
+    /** The response of the upstream to this request, whatever its status. */
+    RESPONSE,
     /** The upstream says that it has not run the request and will not. */
     NOT_RUN,
     /** Another upstream has the address; it has not run the request. */
     MISDIRECTED,
-    /** The answer of another request, or of nobody that can be trusted. */
+    /** The response of another request, or of nobody that can be trusted. */
     FOREIGN
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/StreamForward.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/StreamForward.java
@@ -16,14 +16,14 @@
  * that of the first upstream. Used by one thread.
  */
 final class StreamForward {
-    private final RelayAnswer mAnswer;
+    private final CallerResponse mAnswer;
     private final int mStatus;
     private final HeaderMap mHeaders;
     private EventFramer mFramer = new EventFramer();
     private boolean mStarted;
     private long mLast;
 
-    StreamForward(RelayAnswer answer, int status, HeaderMap headers) {
+    StreamForward(CallerResponse answer, int status, HeaderMap headers) {
         mAnswer = answer;
         mStatus = status;
         mHeaders = headers;
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/StreamTiming.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/StreamTiming.java
@@ -7,7 +7,7 @@
 
 import org.orchidmount.clock.MonotonicClock;
 
-/** When the parts of one stream came. Used by one thread. */
+/** When the parts of one stream were received. Used by one thread. */
 final class StreamTiming {
     private static final double NANOS_PER_MILLI = 1e6;
 
@@ -15,7 +15,7 @@
     private final long mArrivedNanos;
     private long mFirstNanos;
     private long mNewestNanos;
-    private long mMostPauseNanos;
+    private long mLongestPauseNanos;
     private int mParts;
 
     /**
@@ -36,7 +36,7 @@
         if (first) {
             mFirstNanos = nowNanos;
         } else {
-            mMostPauseNanos = Math.max(mMostPauseNanos, nowNanos - mNewestNanos);
+            mLongestPauseNanos = Math.max(mLongestPauseNanos, nowNanos - mNewestNanos);
         }
         mNewestNanos = nowNanos;
         mParts++;
@@ -47,12 +47,12 @@
         return Math.round((mFirstNanos - mArrivedNanos) / NANOS_PER_MILLI);
     }
 
-    long mostPauseMillis() {
-        return Math.round(mMostPauseNanos / NANOS_PER_MILLI);
+    long longestPauseMillis() {
+        return Math.round(mLongestPauseNanos / NANOS_PER_MILLI);
     }
 
     /** Returns the time between the first part and the newest. */
-    double lastedMillis() {
+    double durationMillis() {
         return (mNewestNanos - mFirstNanos) / NANOS_PER_MILLI;
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Handover.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamCall.java
@@ -9,35 +9,27 @@
 import java.util.Optional;
 
 /**
- * How a request is handed to one upstream.
+ * How one upstream is called for a request. Immutable.
  *
  * @param upstreamId the identity of the upstream that is meant
  * @param left how long the upstream may work on it
- * @param part whether only the prompt is to be read
- * @param source where the read prompt is, if it was read elsewhere
+ * @param phase whether only the prompt is to be prefilled
+ * @param cache where the prompt's KV cache is, if it was prefilled elsewhere
  * @param reservation the memory reserved for it there, if any
- * @param afterEvent the last event that the caller has; 0 for none
+ * @param afterEvent the last event that the client has; 0 for none
  */
-public record Handover(
+public record UpstreamCall(
         String upstreamId,
         Duration left,
-        Part part,
-        Optional<PromptSource> source,
+        Phase phase,
+        Optional<KvCacheRef> cache,
         Optional<String> reservation,
         long afterEvent) {
     /** What of a request an upstream is to do. */
-    public enum Part {
-        /** Reads the prompt and keeps it. */
+    public enum Phase {
+        /** Prefills the prompt and keeps its KV cache. */
         PREFILL,
         /** Does all that is left. */
-        ANSWER
+        COMPLETE
     }
-
-    /**
-     * A prompt that was read.
-     *
-     * @param address the upstream that holds it
-     * @param handle its name there
-     */
-    public record PromptSource(String address, String handle) {}
 }
--- /dev/null
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamDirectory.java
@@ -0,0 +1,274 @@
+/*
+ * Copyright (C) 2026, the Orchidmount authors
+ *
+ * SPDX-License-Identifier: Apache-2.0
+ */
+package org.orchidmount.relay;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.OptionalDouble;
+import java.util.Set;
+import java.util.function.Predicate;
+import java.util.function.UnaryOperator;
+import java.util.random.RandomGenerator;
+import java.util.stream.Collectors;
+import org.orchidmount.clock.MonotonicClock;
+import org.orchidmount.internal.lock.LockRank;
+import org.orchidmount.internal.lock.OrderedLock;
+import org.orchidmount.membership.Registration;
+import org.orchidmount.membership.Registration.Stage;
+import org.orchidmount.membership.Registration.State;
+import org.orchidmount.routing.UpstreamCost;
+import org.orchidmount.routing.UpstreamHealth;
+
+/**
+ * The blackboard of the relay: the upstreams known here, the work this instance has given them, and
+ * what its calls have shown of them. {@link UpstreamCost} and {@link UpstreamHealth} decide by it.
+ *
+ * <p>Invariant: an upstream that leaves gets no new work; an address belongs to the upstream that
+ * registered there last. Thread-safe; a choice and its assignment are made under one hold of the
+ * lock.
+ */
+public final class UpstreamDirectory {
+    /** Upstreams beyond which those that have left are forgotten; half the target's. Chosen. */
+    private static final int FORGET_COUNT = 4_096;
+
+    /** An expected time below this says little about speed. Chosen, not measured. */
+    private static final double MIN_ORDINARY_MILLIS = 1;
+
+    private static final double NANOS_PER_MILLI = Duration.ofMillis(1).toNanos();
+
+    private final OrderedLock mLock = new OrderedLock(LockRank.BOARD);
+    private final Map<String, Upstream> mUpstreams = new HashMap<>();
+    private final Map<String, String> mIdByAddress = new HashMap<>();
+    private final MonotonicClock mClock;
+    private final RandomGenerator mRandom;
+    private final String mZone;
+
+    /**
+     * Creates an empty directory.
+     *
+     * @param zone the availability zone of this instance
+     * @param clock the clock
+     * @param random breaks ties
+     */
+    public UpstreamDirectory(String zone, MonotonicClock clock, RandomGenerator random) {
+        mZone = zone;
+        mClock = clock;
+        mRandom = random;
+    }
+
+    /**
+     * Takes a registration.
+     *
+     * @param registration the registration
+     */
+    public void update(Registration registration) {
+        try (OrderedLock.Held _ = mLock.hold()) {
+            Upstream known = mUpstreams.get(registration.id());
+            if (known != null) {
+                known.update(registration);
+                return;
+            }
+            if (mUpstreams.size() > FORGET_COUNT) {
+                mUpstreams.values().removeIf(upstream -> !upstream.isReady());
+            }
+            mUpstreams.put(registration.id(), new Upstream(registration));
+            mIdByAddress.put(registration.address(), registration.id());
+        }
+    }
+
+    /** Notes that another upstream answered at the address of this one, which is therefore gone. */
+    void misdirected(Assignment assignment) {
+        try (OrderedLock.Held _ = mLock.hold()) {
+            Upstream upstream = assignment.upstream();
+            upstream.update(upstream.registration().in(State.GONE));
+        }
+    }
+
+    /**
+     * Gives work to the upstream with the least cost.
+     *
+     * @param need what is needed
+     * @param tried identities that the request has tried
+     * @return the assignment, or nothing if no upstream of the service takes work
+     */
+    Optional<Assignment> assign(Need need, Set<String> tried) {
+        try (OrderedLock.Held _ = mLock.hold()) {
+            long nowNanos = mClock.nanoTime();
+            Upstream best = null;
+            double leastMillis = 0;
+            for (Upstream upstream : candidates(need, tried)) {
+                double millis = costMillis(upstream, need, nowNanos);
+                if (best == null || millis < leastMillis) {
+                    best = upstream;
+                    leastMillis = millis;
+                }
+            }
+            if (best == null) {
+                return Optional.empty();
+            }
+            double ordinaryMillis = best.ordinaryMillis(need.workMillis(), need.backlog());
+            best.beginWork(need.workMillis());
+            return Optional.of(new Assignment(best, need.workMillis(), ordinaryMillis, nowNanos));
+        }
+    }
+
+    /**
+     * Names the upstreams of a service that are not fit for something.
+     *
+     * @param service the service
+     * @param stage their stage
+     * @param isFit tells which are
+     * @return the identities of the others
+     */
+    Set<String> unfit(String service, Stage stage, Predicate<String> isFit) {
+        try (OrderedLock.Held _ = mLock.hold()) {
+            return mUpstreams.values().stream()
+                    .map(Upstream::registration)
+                    .filter(registration -> registration.service().equals(service))
+                    .filter(registration -> registration.stage() == stage)
+                    .map(Registration::id)
+                    .filter(isFit.negate())
+                    .collect(Collectors.toSet());
+        }
+    }
+
+    private List<Upstream> candidates(Need need, Set<String> tried) {
+        List<Upstream> untriedOnes = new ArrayList<>();
+        List<Upstream> triedOnes = new ArrayList<>();
+        for (Upstream upstream : mUpstreams.values()) {
+            if (isCandidate(upstream, need)) {
+                boolean wasTried = tried.contains(upstream.registration().id());
+                (wasTried ? triedOnes : untriedOnes).add(upstream);
+            }
+        }
+        return untriedOnes.isEmpty() && need.mayTakeTried() ? triedOnes : untriedOnes;
+    }
+
+    private boolean isCandidate(Upstream upstream, Need need) {
+        Registration registration = upstream.registration();
+        return upstream.isReady()
+                && !need.excluded().contains(registration.id())
+                && registration.id().equals(mIdByAddress.get(registration.address()))
+                && registration.service().equals(need.service())
+                && registration.stage() == need.stage();
+    }
+
+    private double costMillis(Upstream upstream, Need need, long nowNanos) {
+        boolean sameZone = upstream.registration().zone().equals(mZone);
+        double draw = mRandom.nextDouble();
+        return UpstreamCost.millis(
+                upstream.expectedMillis(need.workMillis(), need.backlog(), nowNanos),
+                need.workMillis(),
+                sameZone ? 0 : need.otherZoneMillis(),
+                draw);
+    }
+
+    /**
+     * Estimates when work would be done at the best upstream.
+     *
+     * @param need what is needed
+     * @return milliseconds, or nothing if no upstream takes work
+     */
+    OptionalDouble estimateMillis(Need need) {
+        try (OrderedLock.Held _ = mLock.hold()) {
+            long nowNanos = mClock.nanoTime();
+            return candidates(need, Set.of()).stream()
+                    .mapToDouble(
+                            upstream ->
+                                    upstream.expectedMillis(
+                                            need.workMillis(), need.backlog(), nowNanos))
+                    .min();
+        }
+    }
+
+    /** Notes that assigned work is done or has ended. Further calls change nothing. */
+    void release(Assignment assignment) {
+        try (OrderedLock.Held _ = mLock.hold()) {
+            assignment.endWork();
+        }
+    }
+
+    /** Learns from an upstream that did what it was given. */
+    void succeeded(Assignment assignment) {
+        learn(
+                assignment,
+                (health, nowNanos) -> {
+                    double tookMillis = (nowNanos - assignment.sinceNanos()) / NANOS_PER_MILLI;
+                    double ordinaryMillis =
+                            Math.max(MIN_ORDINARY_MILLIS, assignment.ordinaryMillis());
+                    return health.afterAnswer(tookMillis / ordinaryMillis, nowNanos);
+                });
+    }
+
+    /** Learns from an upstream that failed. */
+    void failed(Assignment assignment) {
+        learn(assignment, UpstreamHealth::afterFailure);
+    }
+
+    /** Learns from an upstream to which no connection could be made. */
+    void unreachable(Assignment assignment) {
+        learn(assignment, UpstreamHealth::afterUnreachable);
+    }
+
+    /** Learns from an upstream that had no room. */
+    void saturated(Assignment assignment) {
+        learn(assignment, UpstreamHealth::afterSaturated);
+    }
+
+    private void learn(Assignment assignment, Observation observation) {
+        try (OrderedLock.Held _ = mLock.hold()) {
+            long nowNanos = mClock.nanoTime();
+            UnaryOperator<UpstreamHealth> now = health -> observation.apply(health, nowNanos);
+            assignment.upstream().learn(now);
+        }
+    }
+
+    /** What a call has shown of the health of its upstream. */
+    @FunctionalInterface
+    private interface Observation {
+        UpstreamHealth apply(UpstreamHealth before, long nowNanos);
+    }
+
+    /**
+     * What a request needs of an upstream.
+     *
+     * @param service the service
+     * @param stage the stage that the upstream must have
+     * @param workMillis the work expected of it
+     * @param otherZoneMillis what an upstream in another availability zone is counted as
+     * @param mayTakeTried whether one that was tried may be taken if there is no other
+     * @param excluded identities that are never taken
+     * @param backlog what else an upstream has to do
+     */
+    record Need(
+            String service,
+            Stage stage,
+            double workMillis,
+            double otherZoneMillis,
+            boolean mayTakeTried,
+            Set<String> excluded,
+            Backlog backlog) {}
+
+    /** Tells what an upstream has to do before it begins with more. Thread-safe. */
+    @FunctionalInterface
+    interface Backlog {
+        /** Knows no more than this instance's own work. */
+        Backlog OWN = (upstreamId, ownMillis) -> ownMillis;
+
+        /**
+         * Estimates the backlog.
+         *
+         * @param upstreamId the upstream
+         * @param ownMillis the work that this instance has given it
+         * @return milliseconds
+         */
+        double millis(String upstreamId, double ownMillis);
+    }
+}
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamProtocol.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamProtocol.java
@@ -8,6 +8,7 @@
 import io.undertow.client.ClientResponse;
 import io.undertow.util.HeaderMap;
 import java.io.IOException;
+import java.time.Duration;
 import org.orchidmount.internal.http.HttpHead;
 
 /**
@@ -19,27 +20,27 @@
      * Makes the head of a call.
      *
      * @param request the request
-     * @param handover how it is handed over
+     * @param call how the upstream is called
      * @return the head
      */
-    HttpHead head(RelayRequest request, Handover handover);
+    HttpHead head(RelayRequest request, UpstreamCall call);
 
     /**
-     * Judges the head of an answer.
+     * Classifies the head of a response.
      *
      * @param request the request
-     * @param response the head of the answer
+     * @param response the head of the response
      * @return what it means
      */
-    Verdict judge(RelayRequest request, ClientResponse response);
+    ResponseKind classify(RelayRequest request, ClientResponse response);
 
     /**
-     * Returns the fields of an answer that are passed on to the caller.
+     * Returns the fields of a response that are passed on to the client.
      *
-     * @param response the head of the answer
+     * @param response the head of the response
      * @return the fields
      */
-    HeaderMap answerHeaders(ClientResponse response);
+    HeaderMap responseHeaders(ClientResponse response);
 
     /**
      * Reads the answer to a prefill.
@@ -54,10 +55,10 @@
      * Makes the body of the call that reserves memory and a place at an engine.
      *
      * @param tokens the memory
-     * @param lifeMillis how long it is kept if it is not used
+     * @param life how long it is kept if it is not used
      * @return the body
      */
-    byte[] reservation(int tokens, long lifeMillis);
+    byte[] reservation(int tokens, Duration life);
 
     /**
      * Makes the head of the call that reserves memory and a place at an engine.
@@ -77,7 +78,7 @@
     String reserved(byte[] body) throws IOException;
 
     /**
-     * Makes the head of the call that gives a reservation back.
+     * Makes the head of the call that releases a reservation.
      *
      * @param reservation its name
      * @return the head
@@ -93,10 +94,10 @@
     HttpHead freeHandle(String handle);
 
     /**
-     * Returns the longest rest after which a connection may be used again.
+     * Returns how long a connection may be idle and still be used again.
      *
-     * @param response the head of an answer
-     * @return milliseconds; 0 if the connection is not to be used again
+     * @param response the head of a response
+     * @return the longest idle time; zero if the connection is not to be used again
      */
-    long idleMillis(ClientResponse response);
+    Duration idleTimeout(ClientResponse response);
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/routes/Route.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routes/Route.java
@@ -7,6 +7,7 @@
 
 import java.time.Duration;
 import java.util.List;
+import org.orchidmount.routing.AttemptRule;
 
 /**
  * A rule for the requests of one host below one path. Immutable.
@@ -57,6 +58,15 @@
         return kind == RequestKind.SAFE || kind == RequestKind.STREAM && resumable;
     }
 
+    /**
+     * Returns what the route allows when an attempt fails.
+     *
+     * @return the limits
+     */
+    public AttemptRule.Limits attemptLimits() {
+        return new AttemptRule.Limits(isIdempotent(), maxAttempts);
+    }
+
     /**
      * Chooses a service.
      *
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/StagePlan.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/EngineStagePlan.java
@@ -3,7 +3,7 @@
  *
  * SPDX-License-Identifier: Apache-2.0
  */
-package org.orchidmount.cluster;
+package org.orchidmount.routing;
 
 import java.util.Comparator;
 import java.util.HashMap;
@@ -15,18 +15,23 @@
 import org.orchidmount.membership.Registration.State;
 
 /**
- * Decides which engine is to change its stage, so that prefill engines are a set share of all.
- * Pure.
+ * Why an engine changes its stage: prefill engines are kept at a set share of the engines of each
+ * service. Pure and immutable.
  *
- * <p>The share is what a prompt's reading takes of the work of a request; it leaves at least one
- * engine in each stage, and two prefill engines where there are six engines or more, so that the
- * loss of one leaves another.
+ * <p>The share is a setting. At least one engine stays in each stage, and two prefill engines where
+ * there are six engines or more, so that the loss of one leaves another.
  */
-final class StagePlan {
-    private static final int FEWEST_ENGINES = 3;
+public final class EngineStagePlan {
+    /** Fewer engines than this are left as they are. Chosen, not measured. */
+    private static final int MIN_ENGINES = 3;
+
+    /** From this number on there is a spare prefill engine. Chosen, not measured. */
     private static final int ENGINES_FOR_SPARE = 6;
 
-    /** Rounds down, but for a share that is nearly whole: answers run out of engines first. */
+    /**
+     * Added before the target is rounded down, so that a share which is nearly whole counts: decode
+     * engines run out first (rounds 731ee506, ed94a39e and fb7eaf3e in docs/ROUNDS.md).
+     */
     private static final double ROUNDING = 0.25;
 
     private final double mPrefillShare;
@@ -36,7 +41,7 @@
      *
      * @param prefillShare the share of prefill engines
      */
-    StagePlan(double prefillShare) {
+    public EngineStagePlan(double prefillShare) {
         mPrefillShare = prefillShare;
     }
 
@@ -46,37 +51,37 @@
      * @param engine the engine
      * @param stage its new stage
      */
-    record Change(Registration engine, Stage stage) {}
+    public record Change(Registration engine, Stage stage) {}
 
     /**
      * Decides.
      *
-     * @param heard the upstreams that were heard of lately
+     * @param current the upstreams whose heartbeats are recent
      * @return the next change, if one is due
      */
-    Optional<Change> next(List<Registration> heard) {
+    public Optional<Change> next(List<Registration> current) {
         Map<String, Long> services = new HashMap<>();
-        for (Registration registration : heard) {
+        for (Registration registration : current) {
             if (isEngine(registration)) {
                 services.merge(registration.service(), 1L, Long::sum);
             }
         }
         return services.keySet().stream()
                 .sorted()
-                .map(service -> next(heard, service))
+                .map(service -> next(current, service))
                 .flatMap(Optional::stream)
                 .findFirst();
     }
 
-    private Optional<Change> next(List<Registration> heard, String service) {
+    private Optional<Change> next(List<Registration> current, String service) {
         List<Registration> engines =
-                heard.stream()
-                        .filter(StagePlan::isEngine)
+                current.stream()
+                        .filter(EngineStagePlan::isEngine)
                         .filter(engine -> engine.service().equals(service))
                         .toList();
         long prefill = engines.stream().filter(engine -> engine.stage() == Stage.PREFILL).count();
         long target = target(engines.size());
-        if (engines.size() < FEWEST_ENGINES || prefill == target) {
+        if (engines.size() < MIN_ENGINES || prefill == target) {
             return Optional.empty();
         }
         Stage from = prefill > target ? Stage.PREFILL : Stage.DECODE;
@@ -93,7 +98,7 @@
         return Math.clamp(share, least, Math.max(1, engines - 1));
     }
 
-    /** Prefers zones that have few engines of the new stage. */
+    /** Prefers availability zones that have few engines of the new stage. */
     private static long fewInZone(List<Registration> engines, Registration engine, Stage stage) {
         return -engines.stream()
                 .filter(other -> other.zone().equals(engine.zone()) && other.stage() == stage)
--- /dev/null
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/UpstreamHealth.java
@@ -0,0 +1,108 @@
+/*
+ * Copyright (C) 2026, the Orchidmount authors
+ *
+ * SPDX-License-Identifier: Apache-2.0
+ */
+package org.orchidmount.routing;
+
+import java.time.Duration;
+
+/**
+ * Why an upstream is avoided: what its calls to it have shown, and what that adds to the time
+ * expected of it.
+ *
+ * <p>Inputs are the ends of calls of this instance only; nothing is exchanged with other instances
+ * and nothing survives a restart. Immutable; times are monotonic nanoseconds of one clock.
+ *
+ * @param slowness how much slower than ordinary it answers
+ * @param failures what failures add
+ * @param backoff whether it is ejected
+ * @param isSaturated whether it has refused work for lack of room
+ * @param saturatedUntilNanos until when that counts
+ */
+public record UpstreamHealth(
+        Slowness slowness,
+        FailurePenalty failures,
+        FailureBackoff backoff,
+        boolean isSaturated,
+        long saturatedUntilNanos) {
+    /** Of an upstream of which nothing is known. */
+    public static final UpstreamHealth UNKNOWN =
+            new UpstreamHealth(Slowness.NONE, FailurePenalty.NONE, FailureBackoff.NONE, false, 0);
+
+    /** Milliseconds added to an ejected upstream: more than any estimate, so it comes last. */
+    public static final double EJECTED_MILLIS = 100_000;
+
+    /** Milliseconds added to a saturated one: about a target, so that others come first. Chosen. */
+    private static final double SATURATED_MILLIS = 1_000;
+
+    /** A refusal for lack of room counts this long; a place is free again soon. Chosen. */
+    private static final Duration SATURATED = Duration.ofMillis(60);
+
+    /**
+     * Counts an answer.
+     *
+     * @param ratio the time it took by the time expected of an upstream of ordinary speed
+     * @param nowNanos the present time
+     * @return the state after it
+     */
+    public UpstreamHealth afterAnswer(double ratio, long nowNanos) {
+        return new UpstreamHealth(
+                slowness.afterAnswer(ratio, nowNanos),
+                failures.afterSuccess(),
+                backoff.afterSuccess(),
+                isSaturated,
+                saturatedUntilNanos);
+    }
+
+    /**
+     * Counts a call that failed and may have run.
+     *
+     * @param nowNanos the present time
+     * @return the state after it
+     */
+    public UpstreamHealth afterFailure(long nowNanos) {
+        return failed(backoff.afterFailure(nowNanos), nowNanos);
+    }
+
+    /**
+     * Counts a connection that could not be made.
+     *
+     * @param nowNanos the present time
+     * @return the state after it
+     */
+    public UpstreamHealth afterUnreachable(long nowNanos) {
+        return failed(backoff.afterUnreachable(nowNanos), nowNanos);
+    }
+
+    private UpstreamHealth failed(FailureBackoff next, long nowNanos) {
+        FailurePenalty penalty = failures.afterFailure(nowNanos);
+        return new UpstreamHealth(slowness, penalty, next, isSaturated, saturatedUntilNanos);
+    }
+
+    /**
+     * Counts a refusal for lack of room, which is no failure.
+     *
+     * @param nowNanos the present time
+     * @return the state after it
+     */
+    public UpstreamHealth afterSaturated(long nowNanos) {
+        long untilNanos = nowNanos + SATURATED.toNanos();
+        return new UpstreamHealth(slowness, failures, backoff, true, untilNanos);
+    }
+
+    /**
+     * Estimates when work would be done here.
+     *
+     * @param ordinaryMillis when an upstream of ordinary speed would have done it
+     * @param nowNanos the present time
+     * @return milliseconds from now
+     */
+    public double expectedMillis(double ordinaryMillis, long nowNanos) {
+        double millis = ordinaryMillis * slowness.at(nowNanos) + failures.millis(nowNanos);
+        if (isSaturated && nowNanos - saturatedUntilNanos < 0) {
+            millis += SATURATED_MILLIS;
+        }
+        return backoff.isEjected(nowNanos) ? millis + EJECTED_MILLIS : millis;
+    }
+}
