--- a/org.orchidmount/src/main/java/org/orchidmount/relay/EnginePlacer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/EnginePlacer.java
@@ -121,26 +121,25 @@
         return idle.isPresent() ? idle : placeNow(tried, PrefillRule.Choice.SPLIT);
     }
 
+    /** Asks engines in turn, each once; one that was tried only if there is no other. */
     private Optional<Placement> placeNow(Set<String> tried, PrefillRule.Choice choice)
             throws InterruptedException {
         Set<String> excluded = excluded(choice);
         Set<String> refused = new HashSet<>(tried);
+        boolean mayTakeTried = true;
         while (true) {
-            boolean first = refused.size() == tried.size();
             Optional<Assignment> assignment =
-                    mContext.upstreams().assign(need(first, excluded), refused);
+                    mContext.upstreams().assign(need(mayTakeTried, excluded), refused);
             if (assignment.isEmpty()) {
                 return Optional.empty();
             }
-            if (!refused.add(assignment.get().id()) && !first) {
-                mContext.upstreams().release(assignment.get());
-                return Optional.empty();
-            }
             Optional<Placement> placement = placeAt(assignment.get(), choice);
             if (placement.isPresent()) {
                 return placement;
             }
             mContext.upstreams().release(assignment.get());
+            refused.add(assignment.get().id());
+            mayTakeTried = false;
         }
     }
 
