--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/StageControllerTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/StageControllerTest.java
@@ -10,6 +10,7 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
@@ -22,6 +23,7 @@
 final class StageControllerTest {
     private static final long MILLI = 1_000_000;
     private static final long TERM = 7;
+    private static final Duration WAIT = Duration.ofSeconds(10);
 
     private final BlockingQueue<StageOrders.Order> mOrders = new LinkedBlockingQueue<>();
     private volatile StageOrders.Result mResult = StageOrders.Result.TAKEN;
@@ -74,6 +76,51 @@
         assertThat(mOrders).isEmpty();
     }
 
+    @Test
+    void anOrderOfAnEarlierTermThatIsFencedDoesNotStopTheNext() throws InterruptedException {
+        CountDownLatch answer = new CountDownLatch(1);
+        BlockingQueue<StageOrders.Order> orders = new LinkedBlockingQueue<>();
+        StageController controller =
+                new StageController(
+                        stages(
+                                (order, stillHeld) -> {
+                                    orders.add(order);
+                                    awaitUninterruptibly(answer);
+                                    return order.fence() == TERM
+                                            ? StageOrders.Result.FENCED
+                                            : StageOrders.Result.TAKEN;
+                                }),
+                        "voter-1");
+        long millis = 0;
+        while (orders.isEmpty()) {
+            controller.tick(TERM, ENGINES, () -> true, millis * MILLI);
+            millis += 50;
+            Await.until("asked", WAIT, () -> !orders.isEmpty() || !controller.isCalling());
+        }
+        controller.tick(TERM + 1, ENGINES, () -> true, millis * MILLI);
+        answer.countDown();
+        Await.until("ended", WAIT, () -> !controller.isCalling());
+        orders.clear();
+        for (long end = millis + 60_000; millis < end && orders.isEmpty(); millis += 50) {
+            controller.tick(TERM + 1, ENGINES, () -> true, millis * MILLI);
+            Await.until("ended", WAIT, () -> !controller.isCalling());
+        }
+        assertThat(orders.poll(10, TimeUnit.SECONDS).fence()).isEqualTo(TERM + 1);
+    }
+
+    private static void awaitUninterruptibly(CountDownLatch latch) {
+        try {
+            latch.await();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    private static VoterConfig.Stages stages(StageOrders orders) {
+        return new VoterConfig.Stages(
+                Duration.ofMillis(3_000), Duration.ofMillis(1_000), 0.33, orders);
+    }
+
     /** Ticks every 50 ms; where an order is due, it has been given when this returns. */
     private void pass(long term, long millis) {
         for (long end = mNowMillis + millis; mNowMillis < end; mNowMillis += 50) {
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/StageController.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/StageController.java
@@ -9,31 +9,50 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.atomic.AtomicBoolean;
+import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.BooleanSupplier;
 import org.orchidmount.internal.log.PartLog;
 import org.orchidmount.membership.Registration;
 import org.orchidmount.routing.EngineStagePlan;
 
 /**
- * Gives orders to engines while its voter leads.
+ * Gives orders to engines while its voter leads, by {@link EngineStagePlan}.
  *
  * <p>Invariants: the fencing token is the leader's term, so no two holders share one; a leader
  * waits until the lease of the one before must be out; one order is under way at a time, and one
- * that may yet be done is waited for before the next. Confined to the voter's thread, but for the
- * order itself, which runs on a thread of its own.
+ * that may yet be done is waited for before the next. All state belongs to the voter's thread; an
+ * order runs on a thread of its own, which only hands over how it ended.
  */
 final class StageController {
     private static final PartLog LOG = PartLog.of("orders");
+
+    /** How long a change must be due, so that a restart of an engine orders none. Chosen. */
     private static final Duration SETTLE = Duration.ofMillis(1_200);
+
+    /**
+     * The same for a change to prefill: an engine that is lost is often back within seconds, and
+     * its change would take a second engine from the output (round 731ee506).
+     */
     private static final Duration SETTLE_AFTER_LOSS = Duration.ofSeconds(7);
+
+    /** Pause after an order, from its start: an engine's change shows in its heartbeats. Chosen. */
     private static final Duration REST = Duration.ofSeconds(3);
+
+    /** How long an order may yet be done: the engines' 6 s for a change, twice and more. Chosen. */
     private static final Duration WAIT_FOR_DONE = Duration.ofSeconds(16);
-    private static final Duration MARGIN = Duration.ofMillis(700);
+
+    /** Added to the lease of the leader before, for clocks that run at different rates. Chosen. */
+    private static final Duration LEASE_MARGIN = Duration.ofMillis(700);
+
+    /** Heartbeats that an engine may miss and still count. Chosen, not measured. */
+    private static final int HEARTBEATS_MISSED = 3;
 
     private final VoterConfig.Stages mConfig;
     private final StageOrders mOrders;
     private final EngineStagePlan mPlan;
     private final String mHolder;
+    private final AtomicBoolean mCalling = new AtomicBoolean();
+    private final AtomicReference<Ended> mEnded = new AtomicReference<>();
     private long mTerm = -1;
     private long mTermSinceNanos;
     private boolean mFenced;
@@ -42,7 +61,9 @@
     private long mRestUntilNanos;
     private long mGivenNanos;
     private StageOrders.Order mPending;
-    private final AtomicBoolean mCalling = new AtomicBoolean();
+
+    /** How an order ended, and when it was given. */
+    private record Ended(StageOrders.Order order, StageOrders.Result result, long givenNanos) {}
 
     StageController(VoterConfig.Stages config, String holder) {
         mConfig = config;
@@ -56,59 +77,80 @@
         return mCalling.get();
     }
 
-    /** How long an upstream may be silent and still be counted. */
-    Duration heardWithin() {
-        return mConfig.heartbeat().multipliedBy(3);
+    /** Returns how long an upstream may be silent and still be counted. */
+    Duration countedWithin() {
+        return mConfig.heartbeat().multipliedBy(HEARTBEATS_MISSED);
     }
 
     /**
      * Lets time pass.
      *
      * @param term the voter's term, or -1 if it does not lead a quorum
-     * @param heard the upstreams that were heard of lately
+     * @param current the upstreams whose heartbeats are recent
      * @param stillHeld tells, from any thread, whether the voter still leads that term
      * @param nowNanos the monotonic time
      */
-    void tick(long term, List<Registration> heard, BooleanSupplier stillHeld, long nowNanos) {
-        if (term != mTerm) {
-            mTerm = term;
-            mTermSinceNanos = nowNanos;
-            mFenced = false;
-            mDue = null;
-            mPending = null;
+    void tick(long term, List<Registration> current, BooleanSupplier stillHeld, long nowNanos) {
+        follow(term, nowNanos);
+        if (mCalling.get()) {
+            return;
         }
-        Duration wait = mConfig.lease().plus(MARGIN);
-        boolean holds = term >= 0 && nowNanos - mTermSinceNanos > wait.toNanos();
-        if (!holds || mFenced || mCalling.get() || nowNanos - mRestUntilNanos < 0) {
+        Optional.ofNullable(mEnded.getAndSet(null)).ifPresent(this::settle);
+        boolean resting = nowNanos - mRestUntilNanos < 0;
+        if (!holds(nowNanos) || mFenced || resting) {
             return;
         }
-        boolean waits = nowNanos - mGivenNanos < WAIT_FOR_DONE.toNanos();
-        if (mPending != null && waits && heard.stream().noneMatch(this::isDone)) {
+        if (mPending != null
+                && mayYetBeDone(nowNanos)
+                && current.stream().noneMatch(this::isDone)) {
             return;
         }
         mPending = null;
-        Optional<EngineStagePlan.Change> change = mPlan.next(heard);
+        Optional<EngineStagePlan.Change> change = mPlan.next(current);
         if (change.isEmpty()) {
             mDue = null;
-            return;
-        }
-        if (mDue == null || mDue.stage() != change.get().stage()) {
-            mDue = change.get();
-            mDueSinceNanos = nowNanos;
-        }
-        boolean toPrefill = mDue.stage() == Registration.Stage.PREFILL;
-        Duration settle = toPrefill ? SETTLE_AFTER_LOSS : SETTLE;
-        if (nowNanos - mDueSinceNanos > settle.toNanos()) {
+        } else if (isSettled(change.get(), nowNanos)) {
             give(change.get(), stillHeld, nowNanos);
         }
     }
 
+    private void follow(long term, long nowNanos) {
+        if (term != mTerm) {
+            mTerm = term;
+            mTermSinceNanos = nowNanos;
+            mFenced = false;
+            mDue = null;
+            mPending = null;
+        }
+    }
+
+    /** Tells whether the lease of every leader before must be out. */
+    private boolean holds(long nowNanos) {
+        Duration wait = mConfig.lease().plus(LEASE_MARGIN);
+        return mTerm >= 0 && nowNanos - mTermSinceNanos > wait.toNanos();
+    }
+
+    private boolean mayYetBeDone(long nowNanos) {
+        return nowNanos - mGivenNanos < WAIT_FOR_DONE.toNanos();
+    }
+
     /** Tells whether the engine that was ordered has its new stage. */
     private boolean isDone(Registration registration) {
         return registration.id().equals(mPending.engine().id())
                 && registration.stage() == mPending.stage();
     }
 
+    /** Tells whether a change to the same stage has been due for long enough. */
+    private boolean isSettled(EngineStagePlan.Change change, long nowNanos) {
+        if (mDue == null || mDue.stage() != change.stage()) {
+            mDue = change;
+            mDueSinceNanos = nowNanos;
+        }
+        boolean toPrefill = change.stage() == Registration.Stage.PREFILL;
+        Duration settle = toPrefill ? SETTLE_AFTER_LOSS : SETTLE;
+        return nowNanos - mDueSinceNanos > settle.toNanos();
+    }
+
     private void give(EngineStagePlan.Change change, BooleanSupplier stillHeld, long nowNanos) {
         StageOrders.Order order =
                 new StageOrders.Order(change.engine(), change.stage(), mHolder, mTerm);
@@ -119,31 +161,32 @@
         LOG.info(
                 "engine %s at %s is to be %s, fence %d",
                 order.engine().id(), order.engine().address(), order.stage(), order.fence());
-        Thread.ofVirtual()
-                .name("order")
-                .start(
-                        () -> {
-                            StageOrders.Result result = StageOrders.Result.UNKNOWN;
-                            try {
-                                result = mOrders.changeStage(order, stillHeld);
-                            } finally {
-                                LOG.info("engine %s: order %s", order.engine().id(), result);
-                                ended(result, nowNanos);
-                            }
-                        });
+        Thread.ofVirtual().name("order").start(() -> call(order, stillHeld, nowNanos));
+    }
+
+    /** Runs on a thread of its own. */
+    private void call(StageOrders.Order order, BooleanSupplier stillHeld, long givenNanos) {
+        StageOrders.Result result = StageOrders.Result.UNKNOWN;
+        try {
+            result = mOrders.changeStage(order, stillHeld);
+        } finally {
+            LOG.info("engine %s: order %s", order.engine().id(), result);
+            mEnded.set(new Ended(order, result, givenNanos));
+            // Last: the voter's thread reads how the order ended once this is false.
+            mCalling.set(false);
+        }
     }
 
-    private void ended(StageOrders.Result result, long begunNanos) {
-        switch (result) {
-            case TAKEN -> mRestUntilNanos = begunNanos + REST.toNanos();
+    private void settle(Ended ended) {
+        switch (ended.result()) {
+            case TAKEN -> mRestUntilNanos = ended.givenNanos() + REST.toNanos();
             case REFUSED -> {
                 mPending = null;
-                mRestUntilNanos = begunNanos + REST.toNanos();
+                mRestUntilNanos = ended.givenNanos() + REST.toNanos();
             }
-            case FENCED -> mFenced = true;
-            case UNKNOWN -> mRestUntilNanos = begunNanos + WAIT_FOR_DONE.toNanos();
-            default -> throw new IllegalStateException("unknown result " + result);
+            case FENCED -> mFenced = ended.order().fence() == mTerm;
+            case UNKNOWN -> mRestUntilNanos = ended.givenNanos() + WAIT_FOR_DONE.toNanos();
+            default -> throw new IllegalStateException("unknown result " + ended.result());
         }
-        mCalling.set(false);
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterNode.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterNode.java
@@ -468,7 +468,7 @@
         long term = mReplica.holdsQuorum() ? mReplica.term() : -1;
         mStages.tick(
                 term,
-                mRegistry.heardSince(nowNanos - mStages.heardWithin().toNanos()),
+                mRegistry.heardSince(nowNanos - mStages.countedWithin().toNanos()),
                 () -> stillLeads(term),
                 nowNanos);
     }
