--- a/org.orchidmount.test/src/test/java/org/orchidmount/relay/RelayRulesPinTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/relay/RelayRulesPinTest.java
@@ -172,7 +172,7 @@
 
     @Test
     void clientRetriesAreKnownAsTheyWere() {
-        ClientRetryDetector retries = new ClientRetryDetector();
+        ClientRetryDetector retries = new ClientRetryDetector(new ManualClock());
         SplittableRandom random = new SplittableRandom(51);
         List<String> lines = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
--- a/org.orchidmount.test/src/test/java/org/orchidmount/routing/ClientRetryDetectorTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/routing/ClientRetryDetectorTest.java
@@ -9,10 +9,12 @@
 
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
+import org.orchidmount.junit.ManualClock;
 
 /** Tests {@code ClientRetryDetector}. */
 final class ClientRetryDetectorTest {
-    private final ClientRetryDetector mDetector = new ClientRetryDetector();
+    private final ManualClock mClock = new ManualClock();
+    private final ClientRetryDetector mDetector = new ClientRetryDetector(mClock);
 
     @Test
     void aClientThatWaitsClearlyLessThanOthersOfItsRouteRetries() {
@@ -27,4 +29,14 @@
         mDetector.isRetry("a", Duration.ofMillis(14_000));
         assertThat(mDetector.isRetry("b", Duration.ofMillis(3_000))).isFalse();
     }
+
+    @Test
+    void oneClientWithALongWaitDoesNotMakeAllLaterOnesRetries() {
+        mDetector.isRetry("a", Duration.ofMinutes(5));
+        mClock.advance(Duration.ofMinutes(30));
+        mDetector.isRetry("a", Duration.ofMillis(14_000));
+        mClock.advance(Duration.ofMinutes(30));
+        assertThat(mDetector.isRetry("a", Duration.ofMillis(14_000))).isFalse();
+        assertThat(mDetector.isRetry("a", Duration.ofMillis(10_300))).isTrue();
+    }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Relay.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Relay.java
@@ -50,7 +50,7 @@
                         new ConcurrentHashMap<>(),
                         () -> new WindowRetryBudget(retryLimit, instances, clock),
                         new OutputLengthEstimator(),
-                        new ClientRetryDetector(),
+                        new ClientRetryDetector(clock),
                         loads,
                         announcer,
                         connections,
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/ClientRetryDetector.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/ClientRetryDetector.java
@@ -8,6 +8,7 @@
 import java.time.Duration;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
+import org.orchidmount.clock.MonotonicClock;
 
 /**
  * Tells the retry of a client that was refused from a new request.
@@ -22,10 +23,46 @@
      */
     private static final double FIRST_TRY_SHARE = 0.93;
 
+    /**
+     * How long a stated wait counts at least, and twice that at most. Chosen: far longer than a
+     * client waits, so that one client with a long wait does not make retries of all later ones.
+     */
+    private static final Duration WINDOW = Duration.ofMinutes(10);
+
     /** Bounds the memory; the map is emptied beyond. Far more routes than a table has. */
     private static final int MAX_ROUTES = 10_000;
 
-    private final Map<String, Duration> mLongestWaits = new ConcurrentHashMap<>();
+    private final Map<String, LongestWait> mLongestWaits = new ConcurrentHashMap<>();
+    private final MonotonicClock mClock;
+
+    /** The longest wait of a route in the present window and in the one before. */
+    private record LongestWait(Duration present, Duration before, long sinceNanos) {
+        LongestWait with(Duration wait, long nowNanos) {
+            long ageNanos = nowNanos - sinceNanos;
+            if (ageNanos < WINDOW.toNanos()) {
+                return new LongestWait(longer(present, wait), before, sinceNanos);
+            }
+            boolean adjoins = ageNanos < 2 * WINDOW.toNanos();
+            return new LongestWait(wait, adjoins ? present : Duration.ZERO, nowNanos);
+        }
+
+        Duration longest() {
+            return longer(present, before);
+        }
+
+        private static Duration longer(Duration a, Duration b) {
+            return a.compareTo(b) >= 0 ? a : b;
+        }
+    }
+
+    /**
+     * Creates a detector that knows no request.
+     *
+     * @param clock the clock
+     */
+    public ClientRetryDetector(MonotonicClock clock) {
+        mClock = clock;
+    }
 
     /**
      * Takes a request into account.
@@ -38,7 +75,14 @@
         if (mLongestWaits.size() > MAX_ROUTES) {
             mLongestWaits.clear();
         }
-        Duration longest = mLongestWaits.merge(route, wait, (a, b) -> a.compareTo(b) >= 0 ? a : b);
-        return wait.toNanos() < FIRST_TRY_SHARE * longest.toNanos();
+        long nowNanos = mClock.nanoTime();
+        LongestWait known =
+                mLongestWaits.compute(
+                        route,
+                        (name, before) ->
+                                before == null
+                                        ? new LongestWait(wait, Duration.ZERO, nowNanos)
+                                        : before.with(wait, nowNanos));
+        return wait.toNanos() < FIRST_TRY_SHARE * known.longest().toNanos();
     }
 }
