--- a/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/PlainForwarder.java
+++ b/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/PlainForwarder.java
@@ -25,6 +25,7 @@
 import org.orchidmount.errors.CallFailedException;
 import org.orchidmount.errors.Failure;
 import org.orchidmount.errors.Step;
+import org.orchidmount.internal.http.EndToEndHeaders;
 import org.orchidmount.internal.http.HttpCall;
 import org.orchidmount.internal.http.HttpHead;
 import org.orchidmount.internal.http.Peer;
@@ -52,18 +53,8 @@
 
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
-    private static final Set<HttpString> HOP_BY_HOP =
-            Set.of(
-                    Headers.CONNECTION,
-                    Headers.KEEP_ALIVE,
-                    Headers.PROXY_AUTHENTICATE,
-                    Headers.PROXY_AUTHORIZATION,
-                    Headers.TE,
-                    Headers.TRAILER,
-                    Headers.TRANSFER_ENCODING,
-                    Headers.UPGRADE,
-                    Headers.EXPECT,
-                    Headers.HOST);
+    /** The host of the service is set anew with its address. */
+    private static final Set<HttpString> SET_ANEW = Set.of(Headers.HOST);
 
     private final Parts mParts;
     private final Duration mWriteTimeout;
@@ -77,14 +68,7 @@
 
     /** The head of the call as the service is to see it; the account's key is not passed on. */
     HttpHead head(ServerExchange exchange, String id) {
-        HeaderMap headers = new HeaderMap();
-        exchange.requestHeaders()
-                .forEach(
-                        values -> {
-                            if (!HOP_BY_HOP.contains(values.getHeaderName())) {
-                                headers.putAll(values.getHeaderName(), values);
-                            }
-                        });
+        HeaderMap headers = EndToEndHeaders.of(exchange.requestHeaders(), SET_ANEW);
         headers.remove(Headers.AUTHORIZATION);
         headers.put(EngineProtocol.REQUEST_ID, id);
         return new HttpHead(exchange.method(), exchange.pathAndQuery(), headers);
@@ -268,13 +252,7 @@
     }
 
     private static HeaderMap endToEnd(HeaderMap received) {
-        HeaderMap headers = new HeaderMap();
-        received.forEach(
-                values -> {
-                    if (!HOP_BY_HOP.contains(values.getHeaderName())) {
-                        headers.putAll(values.getHeaderName(), values);
-                    }
-                });
+        HeaderMap headers = EndToEndHeaders.of(received, SET_ANEW);
         headers.remove(EngineProtocol.REQUEST_ID);
         return headers;
     }
--- a/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/ResumeTokens.java
+++ b/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/ResumeTokens.java
@@ -78,6 +78,7 @@
                             json.path("request").asText(),
                             json.path("base").asInt()));
         } catch (IllegalArgumentException | IOException e) {
+            // Anyone can send a garbled token: the answer says so, and no log is filled by it.
             return Optional.empty();
         }
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/Dialer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/Dialer.java
@@ -11,6 +11,7 @@
 import java.time.Duration;
 import java.util.concurrent.ThreadLocalRandom;
 import org.orchidmount.cluster.ClusterMessage.Greeting;
+import org.orchidmount.internal.log.PartLog;
 
 /**
  * Keeps a link to one address open: connects again whenever it breaks, with growing pauses.
@@ -18,8 +19,15 @@
  * <p>Thread-safe.
  */
 final class Dialer implements AutoCloseable {
+    /** Tries are many, so each is logged at the debug level only. */
+    private static final PartLog LOG = PartLog.of("link");
+
+    /** Far more than a round trip between the regions of a site. Chosen, not measured. */
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
+
+    /** Pauses between tries double from the first to the longest. Chosen, not measured. */
     private static final long FIRST_PAUSE_MILLIS = 80;
+
     private static final long LONGEST_PAUSE_MILLIS = 800;
 
     private final HostPort mAddress;
@@ -65,16 +73,17 @@
             link.run();
             return true;
         } catch (IOException e) {
-            closeQuietly(socket);
+            closeAfter(e, socket);
             return false;
         }
     }
 
-    private static void closeQuietly(Socket socket) {
+    private void closeAfter(IOException failure, Socket socket) {
+        LOG.debug("%s cannot be reached: %s", mAddress, failure);
         try {
             socket.close();
-        } catch (IOException ignored) {
-            // It was never of use.
+        } catch (IOException e) {
+            LOG.debug("the socket of %s cannot be closed: %s", mAddress, e);
         }
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/EntryNode.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/EntryNode.java
@@ -14,9 +14,6 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import java.util.concurrent.RejectedExecutionException;
-import java.util.concurrent.ScheduledThreadPoolExecutor;
-import java.util.concurrent.TimeUnit;
 import java.util.function.IntSupplier;
 import org.orchidmount.clock.MonotonicClock;
 import org.orchidmount.cluster.ClusterMessage.Greeting;
@@ -71,9 +68,7 @@
     /** Nearly all sequences are shorter, so by then those that go on were announced. Chosen. */
     private static final Duration SEQUENCES_KNOWN_AFTER = Duration.ofSeconds(6);
 
-    private final ScheduledThreadPoolExecutor mThread =
-            new ScheduledThreadPoolExecutor(
-                    1, Thread.ofPlatform().name("entry").daemon().factory());
+    private final TaskThread mTasks = new TaskThread("entry", LOG);
     private final MonotonicClock mClock;
     private final RouteTableParser mParser;
     private final Listener mListener;
@@ -144,14 +139,9 @@
         mStartNanos = clock.nanoTime();
         mRequestedNanos = mStartNanos - REQUEST_AGAIN_AFTER.toNanos();
         mUnlinkedNanos = mStartNanos;
-        post(() -> mSeeds.forEach(this::dial));
-        mThread.scheduleWithFixedDelay(
-                () -> guarded(this::announceAgain),
-                ANNOUNCE_AGAIN_MILLIS,
-                ANNOUNCE_AGAIN_MILLIS,
-                TimeUnit.MILLISECONDS);
-        mThread.scheduleWithFixedDelay(
-                () -> guarded(this::tick), TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+        mTasks.post(() -> mSeeds.forEach(this::dial));
+        mTasks.every(ANNOUNCE_AGAIN_MILLIS, this::announceAgain);
+        mTasks.every(TICK_MILLIS, this::tick);
     }
 
     /**
@@ -187,12 +177,12 @@
      * @param seeds cluster addresses of some voters
      */
     public void addSeeds(List<HostPort> seeds) {
-        post(() -> seeds.forEach(this::dial));
+        mTasks.post(() -> seeds.forEach(this::dial));
     }
 
     @Override
     public void begin(InFlightSequence sequence, IntSupplier generatedTokens) {
-        post(
+        mTasks.post(
                 () -> {
                     mOwnSequences.put(sequence.id(), new OwnSequence(sequence, generatedTokens));
                     announce(List.of(sequence));
@@ -201,7 +191,7 @@
 
     @Override
     public void end(InFlightSequence sequence) {
-        post(
+        mTasks.post(
                 () -> {
                     mOwnSequences.remove(sequence.id());
                     announce(List.of(sequence));
@@ -351,25 +341,9 @@
         }
     }
 
-    private void post(Runnable task) {
-        try {
-            mThread.execute(() -> guarded(task));
-        } catch (RejectedExecutionException e) {
-            LOG.debug("a task came after the end: %s", e);
-        }
-    }
-
-    private static void guarded(Runnable task) {
-        try {
-            task.run();
-        } catch (RuntimeException e) {
-            LOG.error("a task failed", e);
-        }
-    }
-
     @Override
     public void close() {
-        mThread.shutdownNow();
+        mTasks.close();
         Set<Dialer> dialers = new HashSet<>(mDialers.values());
         dialers.forEach(Dialer::close);
     }
@@ -378,13 +352,13 @@
         @Override
         public void received(Link link, ClusterMessage message) {
             if (!(message instanceof KeepAlive)) {
-                post(() -> onMessage(link, message));
+                mTasks.post(() -> onMessage(link, message));
             }
         }
 
         @Override
         public void closed(Link link) {
-            post(() -> onClosed(link));
+            mTasks.post(() -> onClosed(link));
         }
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/Link.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/Link.java
@@ -18,6 +18,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.orchidmount.cluster.ClusterMessage.KeepAlive;
+import org.orchidmount.internal.log.PartLog;
 
 /**
  * A connection to another instance that carries messages both ways.
@@ -27,13 +28,18 @@
  * does not read loses the link. Thread-safe.
  */
 final class Link implements AutoCloseable {
-    /** How long a sender rests at most. */
+    /** The longest pause of a sender; a third of the silence that ends a link. Chosen. */
     static final Duration KEEP_ALIVE = Duration.ofMillis(400);
 
-    /** How long a receiver waits. */
+    /** The longest silence of a peer, after which the link ends. Chosen, not measured. */
     static final Duration SILENCE = Duration.ofMillis(1_500);
 
+    private static final PartLog LOG = PartLog.of("link");
+
+    /** The largest frame: a table document and its envelope. Chosen, not measured. */
     private static final int MAX_FRAME_BYTES = 16 * 1024 * 1024;
+
+    /** Messages queued for a peer that reads too slowly, until the link ends. Chosen. */
     private static final int MAX_QUEUED = 512;
 
     private final Socket mSocket;
@@ -73,8 +79,8 @@
                 }
                 mHandler.received(this, ClusterCodec.decode(frame));
             }
-        } catch (IOException ignored) {
-            // The link ends here; whoever needs it connects again.
+        } catch (IOException e) {
+            logEnd("cannot be read", e);
         } finally {
             close();
             mHandler.closed(this);
@@ -90,8 +96,8 @@
                 ByteBuffer.wrap(frame).putInt(body.length).put(body);
                 out.write(frame);
             }
-        } catch (IOException ignored) {
-            // The reader finds the closed socket and tells the handler.
+        } catch (IOException e) {
+            logEnd("cannot be written", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
@@ -102,10 +108,22 @@
     /** Queues a message; closes the link if the peer reads too slowly. */
     void send(ClusterMessage message) {
         if (!mQueue.offer(message)) {
+            LOG.info("link with %s ends: %d messages wait", peer(), MAX_QUEUED);
             close();
         }
     }
 
+    /** Logs why the link ends, unless it was closed here; whoever needs it connects again. */
+    private void logEnd(String what, IOException e) {
+        if (isOpen()) {
+            LOG.info("link with %s ends: %s: %s", peer(), what, e);
+        }
+    }
+
+    private String peer() {
+        return String.valueOf(mSocket.getRemoteSocketAddress());
+    }
+
     boolean isOpen() {
         return !mClosed.get();
     }
@@ -117,8 +135,8 @@
         }
         try {
             mSocket.close();
-        } catch (IOException ignored) {
-            // Nothing is left to be done with it.
+        } catch (IOException e) {
+            LOG.debug("the socket of %s cannot be closed: %s", peer(), e);
         }
     }
 }
--- /dev/null
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/TaskThread.java
@@ -0,0 +1,68 @@
+/*
+ * Copyright (C) 2026, the Orchidmount authors
+ *
+ * SPDX-License-Identifier: Apache-2.0
+ */
+package org.orchidmount.cluster;
+
+import java.util.concurrent.RejectedExecutionException;
+import java.util.concurrent.ScheduledThreadPoolExecutor;
+import java.util.concurrent.TimeUnit;
+import org.orchidmount.internal.log.PartLog;
+
+/**
+ * Runs the tasks of a node one after the other on a thread of its own, so that the node's state
+ * needs no lock. A task that throws is logged and ends neither the thread nor its periodic tasks.
+ * Thread-safe.
+ */
+final class TaskThread implements AutoCloseable {
+    private final PartLog mLog;
+    private final ScheduledThreadPoolExecutor mExecutor;
+
+    /**
+     * Starts the thread.
+     *
+     * @param name its name
+     * @param log takes the failures of tasks
+     */
+    TaskThread(String name, PartLog log) {
+        mLog = log;
+        mExecutor =
+                new ScheduledThreadPoolExecutor(
+                        1, Thread.ofPlatform().name(name).daemon().factory());
+        mExecutor.setRemoveOnCancelPolicy(true);
+    }
+
+    /** Runs a task after those posted before. One that comes after the end is dropped. */
+    void post(Runnable task) {
+        try {
+            mExecutor.execute(() -> guarded(task));
+        } catch (RejectedExecutionException e) {
+            mLog.debug("a task came after the end: %s", e);
+        }
+    }
+
+    /** Runs a task again and again, with a pause before each run. */
+    void every(long pauseMillis, Runnable task) {
+        mExecutor.scheduleWithFixedDelay(
+                () -> guarded(task), pauseMillis, pauseMillis, TimeUnit.MILLISECONDS);
+    }
+
+    /** Runs a task once after a pause. */
+    void after(long pauseMillis, Runnable task) {
+        mExecutor.schedule(() -> guarded(task), pauseMillis, TimeUnit.MILLISECONDS);
+    }
+
+    private void guarded(Runnable task) {
+        try {
+            task.run();
+        } catch (RuntimeException e) {
+            mLog.error("a task failed", e);
+        }
+    }
+
+    @Override
+    public void close() {
+        mExecutor.shutdownNow();
+    }
+}
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterNode.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterNode.java
@@ -17,8 +17,6 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.RejectedExecutionException;
-import java.util.concurrent.ScheduledThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.orchidmount.clock.MonotonicClock;
@@ -67,9 +65,7 @@
     private static final int IDENTITY_BYTES = 8;
     private static final String FOUNDER = "/first";
 
-    private final ScheduledThreadPoolExecutor mThread =
-            new ScheduledThreadPoolExecutor(
-                    1, Thread.ofPlatform().name("voter").daemon().factory());
+    private final TaskThread mTasks = new TaskThread("voter", LOG);
     private final MonotonicClock mClock;
     private final Member mSelf;
     private final Replica mReplica;
@@ -126,11 +122,8 @@
                         handler);
         mServer = new LinkServer(config.address(), greeting, handler);
         mStages = new StageController(config.stages(), config.node());
-        mThread.setRemoveOnCancelPolicy(true);
-        mThread.scheduleWithFixedDelay(
-                () -> guarded(this::tick), TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
-        mThread.scheduleWithFixedDelay(
-                () -> guarded(this::refresh), NOTICE_MILLIS, NOTICE_MILLIS, TimeUnit.MILLISECONDS);
+        mTasks.every(TICK_MILLIS, this::tick);
+        mTasks.every(NOTICE_MILLIS, this::refresh);
         LOG.info(
                 "replica %s holds entry %s with table %d",
                 mSelf.id(), durable.entry(), durable.state().tableVersion());
@@ -233,7 +226,7 @@
     /** Runs a question on the leader, or names the leader. */
     private CompletableFuture<TableAnswer> ask(Consumer<Consumer<TableAnswer>> question) {
         CompletableFuture<TableAnswer> answer = new CompletableFuture<>();
-        post(
+        mTasks.post(
                 () -> {
                     if (mReplica.role() == Replica.Role.LEADER) {
                         question.accept(answer::complete);
@@ -256,7 +249,7 @@
      */
     public CompletableFuture<List<Member>> voters() {
         CompletableFuture<List<Member>> voters = new CompletableFuture<>();
-        post(() -> voters.complete(mCommitted.members()));
+        mTasks.post(() -> voters.complete(mCommitted.members()));
         return voters;
     }
 
@@ -266,7 +259,7 @@
      * @param seeds cluster addresses of some voters
      */
     public void addSeeds(List<HostPort> seeds) {
-        post(() -> seeds.forEach(mLinks::dial));
+        mTasks.post(() -> seeds.forEach(mLinks::dial));
     }
 
     // ---- upstreams
@@ -279,7 +272,7 @@
      */
     public CompletableFuture<Boolean> register(Registration registration) {
         CompletableFuture<Boolean> done = new CompletableFuture<>();
-        post(
+        mTasks.post(
                 () -> {
                     Optional<Registration> changed =
                             mRegistry.merge(registration, mClock.nanoTime());
@@ -304,7 +297,7 @@
      */
     public CompletableFuture<Boolean> leave(String id) {
         CompletableFuture<Boolean> done = new CompletableFuture<>();
-        post(
+        mTasks.post(
                 () -> {
                     Registration gone = mRegistry.leave(id, mClock.nanoTime());
                     logChange(gone);
@@ -321,7 +314,7 @@
         }
         long number = ++mSpreadNumber;
         mSpreads.put(number, new Spread(done));
-        done.whenComplete((held, error) -> post(() -> mSpreads.remove(number)));
+        done.whenComplete((held, error) -> mTasks.post(() -> mSpreads.remove(number)));
         Registrations message = new Registrations(number, List.of(leaving));
         mLinks.sendToVoters(message);
         mLinks.sendToEntries(new Registrations(0, List.of(leaving)));
@@ -435,8 +428,7 @@
     /** Passes announcements on to all entries; the sender takes its own as known. */
     private void onSequences(InFlightSequences announced) {
         if (mAnnounced.isEmpty()) {
-            mThread.schedule(
-                    () -> guarded(this::sendAnnounced), GATHER_MILLIS, TimeUnit.MILLISECONDS);
+            mTasks.after(GATHER_MILLIS, this::sendAnnounced);
         }
         mAnnounced.addAll(announced.sequences());
     }
@@ -476,7 +468,7 @@
     /** Tells, from another thread, whether this voter leads a quorum in a term. */
     private boolean stillLeads(long term) {
         CompletableFuture<Boolean> leads = new CompletableFuture<>();
-        post(
+        mTasks.post(
                 () -> {
                     mReplica.tick(mClock.nanoTime());
                     leads.complete(mReplica.holdsQuorum() && mReplica.term() == term);
@@ -503,30 +495,13 @@
     }
 
     private void onPersisted(long number, EntryId entry) {
-        post(() -> mReplica.persisted(number, entry, mClock.nanoTime()));
-    }
-
-    private void post(Runnable task) {
-        try {
-            mThread.execute(() -> guarded(task));
-        } catch (RejectedExecutionException e) {
-            LOG.debug("a task came after the end: %s", e);
-        }
-    }
-
-    /** A defect in one task must not end the thread's other work. */
-    private static void guarded(Runnable task) {
-        try {
-            task.run();
-        } catch (RuntimeException e) {
-            LOG.error("a task failed", e);
-        }
+        mTasks.post(() -> mReplica.persisted(number, entry, mClock.nanoTime()));
     }
 
     @Override
     public void close() {
         mServer.close();
-        mThread.shutdownNow();
+        mTasks.close();
         mPersister.close();
         mLinks.close();
     }
@@ -535,13 +510,13 @@
         @Override
         public void received(Link link, ClusterMessage message) {
             if (!(message instanceof KeepAlive)) {
-                post(() -> onMessage(link, message));
+                mTasks.post(() -> onMessage(link, message));
             }
         }
 
         @Override
         public void closed(Link link) {
-            post(() -> mLinks.closed(link));
+            mTasks.post(() -> mLinks.closed(link));
         }
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/internal/upstream/HttpEngineClient.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/internal/upstream/HttpEngineClient.java
@@ -26,6 +26,7 @@
 import org.orchidmount.internal.http.HttpHead;
 import org.orchidmount.internal.http.Peer;
 import org.orchidmount.internal.json.Json;
+import org.orchidmount.internal.log.PartLog;
 import org.orchidmount.settings.Settings;
 import org.orchidmount.upstream.CancelSignal;
 import org.orchidmount.upstream.EngineClient;
@@ -41,6 +42,7 @@
  * <p>Every answer must carry the id it was asked for; another one is refused as garbled.
  */
 public final class HttpEngineClient implements EngineClient {
+    private static final PartLog LOG = PartLog.of("engine");
     private static final int MAX_ANSWER_BYTES = 4 * 1024 * 1024;
     private static final int MAX_DETAIL_LENGTH = 200;
     private static final int HEX = 16;
@@ -270,6 +272,7 @@
             String text = new String(body, StandardCharsets.UTF_8);
             detail = text.substring(0, Math.min(text.length(), MAX_DETAIL_LENGTH));
         } catch (CallFailedException e) {
+            LOG.debug("no explanation of status %d: %s", status, e.failure().describe());
             detail = "the explanation could not be read";
         }
         return new CallFailedException(
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/EventFramer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/EventFramer.java
@@ -59,7 +59,8 @@
         try {
             mId = Long.parseLong(text);
         } catch (NumberFormatException ignored) {
-            // An id that is no number cannot be taken up at, so the one before stands.
+            // A stream cannot be resumed at an id that is no number, so the one before stands.
+            // Not logged: it may happen with each event, and the client gets the event unchanged.
         }
     }
 
