--- a/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/Daemon.java
+++ b/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/Daemon.java
@@ -47,7 +47,7 @@
      */
     void drainAndStop();
 
-    /** Breaks off a planned stop: what still runs is cancelled and told so. */
+    /** Breaks off a planned stop: what still runs is cancelled, and its callers get that answer. */
     void stopNow();
 
     /**
--- a/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/CompletionRun.java
+++ b/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/CompletionRun.java
@@ -42,7 +42,11 @@
  */
 final class CompletionRun {
     private static final PartLog LOG = PartLog.of("request");
+
+    /** The most attempts of a request. Chosen, not measured. */
     private static final int MAX_ATTEMPTS = 3;
+
+    /** When to come back to an instance that stops. Chosen, not measured. */
     private static final long STOP_RETRY_MILLIS = 1_000;
 
     private final Parts mParts;
@@ -138,7 +142,7 @@
         return true;
     }
 
-    /** Ends a cancelled request: a caller that is still there is told its fate. */
+    /** Ends a cancelled request: a caller that is still there gets its outcome. */
     private void endCancelled() throws IOException, TimeoutException, InterruptedException {
         if (mCancel.reason() == CancelSignal.Reason.CALLER_GONE) {
             count("gone");
--- a/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/PlainForwarder.java
+++ b/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/PlainForwarder.java
@@ -43,6 +43,8 @@
  */
 final class PlainForwarder {
     private static final PartLog LOG = PartLog.of("plain");
+
+    /** The most attempts of a repeatable call. Chosen, not measured. */
     private static final int MAX_ATTEMPTS = 3;
 
     /** Request bodies up to this size are held, so that the call can be retried. */
@@ -51,6 +53,7 @@
     /** Answers up to this size are held, so that their outcome can stand in the head. */
     private static final int MAX_HELD_ANSWER_BYTES = 256 * 1024;
 
+    /** When to come back if no instance is free. Chosen, not measured. */
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
     /** The host of the service is set anew with its address. */
--- a/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/PlainHandler.java
+++ b/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/PlainHandler.java
@@ -40,6 +40,8 @@
  */
 final class PlainHandler {
     private static final PartLog LOG = PartLog.of("plain");
+
+    /** When to come back to an instance that stops. Chosen, not measured. */
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
     private final Parts mParts;
--- a/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/RunningDaemon.java
+++ b/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/RunningDaemon.java
@@ -47,12 +47,22 @@
  */
 public final class RunningDaemon implements Daemon {
     private static final PartLog LOG = PartLog.of("daemon");
+
+    /** Threads of the controllers. Chosen, not measured. */
     private static final int WORKERS = 2;
+
+    /** Base-36 digits that hold the milliseconds of a start for decades. */
     private static final int INCARNATION_DIGITS = 11;
+
+    /** I/O threads of calls to upstreams. Chosen, not measured. */
     private static final int CLIENT_IO_THREADS = 2;
+
+    /** Pause between two looks at what still runs. Chosen, not measured. */
     private static final Duration POLL = Duration.ofMillis(20);
 
+    /** Pauses between tries to cancel double from the first to the longest. Chosen. */
     private static final Duration CLEAN_FIRST_PAUSE = Duration.ofMillis(100);
+
     private static final Duration CLEAN_LONGEST_PAUSE = Duration.ofSeconds(5);
 
     /** How long broken-off requests may take to tell their callers. */
--- a/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/SettingsWatch.java
+++ b/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/SettingsWatch.java
@@ -27,6 +27,8 @@
  */
 public final class SettingsWatch {
     private static final PartLog LOG = PartLog.of("settings");
+
+    /** Pause between two looks at the settings file. Chosen, not measured. */
     private static final Duration POLL = Duration.ofSeconds(1);
 
     private final Path mFile;
--- a/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/TokenRelay.java
+++ b/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/TokenRelay.java
@@ -47,7 +47,7 @@
      *
      * @param source engine, ids and the offset of the engine's first token in the answer
      * @param nextOffset the next offset of the answer
-     * @param listener told of each token that was given to the writer
+     * @param listener called with each token that was given to the writer
      */
     TokenRelay(
             Parts parts,
@@ -140,7 +140,7 @@
         mNextOffset++;
     }
 
-    /** Told of tokens. */
+    /** Called with tokens. */
     @FunctionalInterface
     interface TokenListener {
         /** Called for each token before it is written. */
--- a/org.orchidmount.junit/src/main/java/org/orchidmount/junit/Caller.java
+++ b/org.orchidmount.junit/src/main/java/org/orchidmount/junit/Caller.java
@@ -68,7 +68,7 @@
      *
      * @param body the body of the request
      * @param headers further header fields
-     * @param onToken told of each token's offset as it comes
+     * @param onToken called with each token's offset as it is received
      * @return the answer
      * @throws IOException if the connection breaks
      */
--- a/org.orchidmount.junit/src/main/java/org/orchidmount/junit/ChildProcess.java
+++ b/org.orchidmount.junit/src/main/java/org/orchidmount/junit/ChildProcess.java
@@ -132,7 +132,7 @@
                 return Integer.parseInt(word.substring(key.length() + 1));
             }
         }
-        throw new IllegalStateException(mName + " told no " + key + ": " + mReadyLine);
+        throw new IllegalStateException(mName + " printed no " + key + ": " + mReadyLine);
     }
 
     /** Ends the process without warning, as a crash would. */
--- a/org.orchidmount/src/main/java/org/orchidmount/blackboard/Blackboard.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/blackboard/Blackboard.java
@@ -41,6 +41,7 @@
     private final MonotonicClock mClock;
     private final String mZone;
     private final Map<String, UpstreamSlot> mSlots = new HashMap<>();
+    private final Reservations mReservations = new Reservations(mSlots);
     private final WaitQueue mQueue = new WaitQueue();
     private Table mTable = Table.empty();
     private long mTurn;
@@ -167,7 +168,8 @@
             case Decision.Wait _ -> null;
             case Decision.Refuse refuse -> new Ticket.Verdict.Refused(refuse);
             case Decision.Place place ->
-                    new Ticket.Verdict.Placed(place, reserve(ticket, place, nowNanos));
+                    new Ticket.Verdict.Placed(
+                            place, mReservations.reserve(ticket, place, nowNanos));
         };
     }
 
@@ -204,28 +206,8 @@
         return candidates;
     }
 
-    private Reservation reserve(Ticket ticket, Decision.Place place, long nowNanos) {
-        UpstreamSlot prefill = mSlots.get(place.prefill());
-        UpstreamSlot decode = mSlots.get(place.decode());
-        int uncached = Math.max(1, ticket.info().promptTokens() - place.cachedTokens());
-        Reservation reservation =
-                new Reservation(
-                        prefill.peer(),
-                        decode.peer(),
-                        uncached,
-                        ticket.info().kvBytes(),
-                        ticket.info().promptKvBytes());
-        prefill.addRunning(1);
-        prefill.addBacklogTokens(uncached);
-        prefill.hints().placed(ticket.blocks().hashes(), nowNanos);
-        decode.addRunning(1);
-        decode.addKvBytes(ticket.info().kvBytes());
-        decode.addLinkBytes(ticket.info().promptKvBytes());
-        return reservation;
-    }
-
     /**
-     * Gives back the prefill part after a prefill that worked, and learns from it.
+     * Releases the prefill part after a prefill that worked, and learns from it.
      *
      * @param reservation the reservation
      * @param uncachedTokens the prompt tokens the engine had to process
@@ -233,63 +215,29 @@
      */
     public void prefillDone(Reservation reservation, int uncachedTokens, long durationNanos) {
         try (OrderedLock.Held _ = mLock.hold()) {
-            UpstreamSlot slot = mSlots.get(reservation.prefill().name());
-            boolean alone =
-                    slot != null && slot.view().backlogTokens() <= reservation.uncachedTokens();
-            givePrefillBack(reservation);
-            if (slot != null) {
-                slot.succeeded();
-                if (alone) {
-                    slot.observePrefill(uncachedTokens, durationNanos);
-                }
-            }
+            mReservations.prefillDone(reservation, uncachedTokens, durationNanos);
         }
     }
 
     /**
-     * Gives back the share of the link once the first token shows that the transfer has ended.
+     * Releases the share of the link once the first token shows that the transfer has ended.
      *
      * @param reservation the reservation
      */
     public void transferDone(Reservation reservation) {
         try (OrderedLock.Held _ = mLock.hold()) {
-            giveLinkBack(reservation);
-            UpstreamSlot slot = mSlots.get(reservation.decode().name());
-            if (slot != null) {
-                slot.succeeded();
-            }
+            mReservations.transferDone(reservation);
         }
     }
 
     /**
-     * Gives back all that is still held. May be called more than once.
+     * Releases all that is still held. May be called more than once.
      *
      * @param reservation the reservation
      */
     public void release(Reservation reservation) {
         try (OrderedLock.Held _ = mLock.hold()) {
-            givePrefillBack(reservation);
-            giveLinkBack(reservation);
-            UpstreamSlot slot = mSlots.get(reservation.decode().name());
-            if (reservation.takeDecode() && slot != null) {
-                slot.addRunning(-1);
-                slot.addKvBytes(-reservation.kvBytes());
-            }
-        }
-    }
-
-    private void givePrefillBack(Reservation reservation) {
-        UpstreamSlot slot = mSlots.get(reservation.prefill().name());
-        if (reservation.takePrefill() && slot != null) {
-            slot.addRunning(-1);
-            slot.addBacklogTokens(-reservation.uncachedTokens());
-        }
-    }
-
-    private void giveLinkBack(Reservation reservation) {
-        UpstreamSlot slot = mSlots.get(reservation.decode().name());
-        if (reservation.takeLink() && slot != null) {
-            slot.addLinkBytes(-reservation.promptKvBytes());
+            mReservations.release(reservation);
         }
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/blackboard/UpstreamSlot.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/blackboard/UpstreamSlot.java
@@ -24,7 +24,7 @@
     private static final double RATE_SMOOTHING = 0.2;
 
     /** Below this many tokens a prefill's time says little about the rate. */
-    private static final int LEAST_TOKENS_FOR_RATE = 256;
+    private static final int MIN_TOKENS_FOR_RATE = 256;
 
     private final PrefixHints mHints = new PrefixHints();
     private UpstreamRow mRow;
@@ -91,7 +91,7 @@
 
     /** Learns the prefill rate from one measured prefill. */
     void observePrefill(int uncachedTokens, long durationNanos) {
-        if (uncachedTokens < LEAST_TOKENS_FOR_RATE || durationNanos <= 0) {
+        if (uncachedTokens < MIN_TOKENS_FOR_RATE || durationNanos <= 0) {
             return;
         }
         double rate = uncachedTokens * (double) TimeUnit.SECONDS.toNanos(1) / durationNanos;
--- a/org.orchidmount/src/main/java/org/orchidmount/claims/ClaimResult.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/claims/ClaimResult.java
@@ -31,7 +31,7 @@
     record Done(RecordedAnswer answer) implements ClaimResult {}
 
     /**
-     * Whether the request ran cannot be told; it is never run again.
+     * It is unknown whether the request ran; it is never run again.
      *
      * @param reason why
      */
--- a/org.orchidmount/src/main/java/org/orchidmount/claims/ClaimStore.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/claims/ClaimStore.java
@@ -38,7 +38,7 @@
     void release(ClaimKey key);
 
     /**
-     * Records that it cannot be told whether the request ran.
+     * Records that it is unknown whether the request ran.
      *
      * @param key the key
      * @param reason why
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/ClusterCodec.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/ClusterCodec.java
@@ -44,11 +44,18 @@
  * order. Stateless and thread-safe.
  */
 final class ClusterCodec {
+    /** The longest list in a frame; the target has some 8,000 upstreams. */
     private static final int MAX_LIST = 100_000;
+
+    /** The largest table document, inflated. Chosen, not measured. */
     private static final int MAX_DOCUMENT_BYTES = 64 * 1024 * 1024;
+
+    /** Bytes inflated at a time. Chosen, not measured. */
     private static final int INFLATE_STEP_BYTES = 16 * 1024;
 
+    /** The types of frames; their numbers are part of the protocol. */
     private static final int GREETING = 1;
+
     private static final int KEEP_ALIVE = 2;
     private static final int VOTERS = 3;
     private static final int TABLE_NOTICE = 4;
@@ -57,7 +64,10 @@
     private static final int REGISTRATIONS = 7;
     private static final int REGISTRATIONS_HELD = 8;
     private static final int ENGINE_RUNS = 9;
+
+    /** The types of frames of the consensus. */
     private static final int VOTE_REQUEST = 20;
+
     private static final int VOTE_REPLY = 21;
     private static final int APPEND = 22;
     private static final int APPEND_REPLY = 23;
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/EntryNode.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/EntryNode.java
@@ -198,7 +198,7 @@
                 });
     }
 
-    /** Sends to the voters that were heard from last, which are most likely well. */
+    /** Sends to the voters whose notices are newest, which are most likely well. */
     private void announce(List<InFlightSequence> sequences) {
         mNotices.sequencedKeySet().reversed().stream()
                 .filter(Link::isOpen)
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/LinkServer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/LinkServer.java
@@ -15,6 +15,8 @@
 /** Takes links from other instances. Thread-safe. */
 final class LinkServer implements AutoCloseable {
     private static final PartLog LOG = PartLog.of("link");
+
+    /** Connections not yet accepted; more than a site has instances. Chosen. */
     private static final int BACKLOG = 512;
 
     private final ServerSocket mSocket;
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/Persister.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/Persister.java
@@ -21,6 +21,8 @@
  */
 final class Persister implements AutoCloseable {
     private static final PartLog LOG = PartLog.of("disk");
+
+    /** Pause before a failed write is tried again. Chosen, not measured. */
     private static final long RETRY_MILLIS = 100;
 
     private final Lock mLock = new ReentrantLock();
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/StateFile.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/StateFile.java
@@ -24,9 +24,16 @@
  */
 final class StateFile {
     private static final PartLog LOG = PartLog.of("disk");
+
+    /** The letters "orch". */
     private static final int MAGIC = 0x6f726368;
+
+    /** The version of the form. */
     private static final int FORMAT = 1;
+
+    /** Magic, format, sequence, length and checksum. */
     private static final int HEAD_BYTES = 4 + 4 + 8 + 8 + 4;
+
     private static final String[] NAMES = {"replica-a.state", "replica-b.state"};
 
     private final Path mFolder;
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterLinks.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterLinks.java
@@ -21,6 +21,7 @@
  * <p>Confined to the voter's own thread.
  */
 final class VoterLinks implements AutoCloseable {
+    /** Nanoseconds after which a silent peer is no longer dialled. Chosen. */
     private static final long FORGET_NANOS = 30_000_000_000L;
 
     private final HostPort mSelf;
@@ -50,7 +51,7 @@
 
     /**
      * Notes where a replica is; returns true if its address was not known. A replica that lost its
-     * disk goes by two identities for a while, which must not count as news again and again.
+     * disk goes by two identities for a while, which must not count as a change again and again.
      */
     boolean learn(Member member, long nowNanos) {
         HostPort address = HostPort.parse(member.address());
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterNode.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterNode.java
@@ -55,14 +55,22 @@
     static final int PROTOCOL = 2;
 
     private static final PartLog LOG = PartLog.of("voter");
+
+    /** Pause between two ticks of the replica, a fraction of its timeouts. Chosen. */
     private static final long TICK_MILLIS = 50;
+
+    /** Pause between two notices of the table to all entries. Chosen. */
     private static final long NOTICE_MILLIS = 1_000;
 
     /** Announcements are gathered this long, so that many entries cost few frames. Chosen. */
     private static final long GATHER_MILLIS = 2;
 
+    /** Nanoseconds for which an upstream that has left is remembered. Chosen. */
     private static final long REMEMBER_NANOS = Duration.ofMinutes(10).toNanos();
+
+    /** Random bytes that tell a voter with a new disk from the one before. */
     private static final int IDENTITY_BYTES = 8;
+
     private static final String FOUNDER = "/first";
 
     private final TaskThread mTasks = new TaskThread("voter", LOG);
@@ -76,8 +84,8 @@
     private final Registry mRegistry = new Registry(REMEMBER_NANOS);
     private final Map<Long, Spread> mSpreads = new HashMap<>();
 
-    /** What upstreams said here since the other voters were last told. */
-    private final Map<String, Registration> mHeard = new HashMap<>();
+    /** Registrations received here since the other voters were last sent any. */
+    private final Map<String, Registration> mReceived = new HashMap<>();
 
     /** Announcements of entries that were not passed on yet. */
     private final List<InFlightSequence> mAnnounced = new ArrayList<>();
@@ -277,7 +285,7 @@
                     Optional<Registration> changed =
                             mRegistry.merge(registration, mClock.nanoTime());
                     changed.ifPresent(VoterNode::logChange);
-                    mHeard.put(registration.id(), registration);
+                    mReceived.put(registration.id(), registration);
                     boolean leaving = registration.state() != Registration.State.READY;
                     if (leaving) {
                         spread(mRegistry.find(registration.id()).orElse(registration), done);
@@ -488,9 +496,9 @@
         mLinks.forgetOld(mReplica.state().members(), nowNanos);
         mRegistry.forgetOld(nowNanos);
         mLinks.sendToEntries(notice());
-        if (!mHeard.isEmpty()) {
-            mLinks.sendToVoters(new Registrations(0, List.copyOf(mHeard.values())));
-            mHeard.clear();
+        if (!mReceived.isEmpty()) {
+            mLinks.sendToVoters(new Registrations(0, List.copyOf(mReceived.values())));
+            mReceived.clear();
         }
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/consensus/Replica.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/consensus/Replica.java
@@ -137,7 +137,7 @@
     }
 
     /**
-     * Returns the leader, if one was heard of lately.
+     * Returns the leader, if one has sent a message lately.
      *
      * @return the leader, maybe this replica
      */
@@ -219,13 +219,13 @@
     }
 
     private int heardVoters() {
-        int heard = 0;
+        int answered = 0;
         for (Member member : state().members()) {
             if (member.id().equals(mSelf.id()) || isHeard(member.id(), mTiming.election())) {
-                heard++;
+                answered++;
             }
         }
-        return heard;
+        return answered;
     }
 
     private boolean isHeard(String id, Duration within) {
@@ -388,7 +388,7 @@
      * Makes a new state, if this replica leads.
      *
      * @param state the state
-     * @param done told true once the state is committed, false if that is not known
+     * @param done called with true once the state is committed, false if that is not known
      */
     public void propose(GroupState state, Consumer<Boolean> done) {
         if (mRole != Role.LEADER) {
@@ -404,7 +404,7 @@
      * Waits for the newest state held to be committed and for this replica to be confirmed as the
      * leader by a quorum after this call.
      *
-     * @param done told true once both hold, false if this replica does not lead
+     * @param done called with true once both hold, false if this replica does not lead
      */
     public void confirm(Consumer<Boolean> done) {
         if (mRole != Role.LEADER) {
--- a/org.orchidmount/src/main/java/org/orchidmount/controller/Admission.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/controller/Admission.java
@@ -35,7 +35,10 @@
  * placed one holds its limits until {@link #end}. Thread-safe.
  */
 public final class Admission {
+    /** Pause between two rounds of the queue without an event. Chosen, not measured. */
     private static final Duration TICK = Duration.ofMillis(20);
+
+    /** When to come back after a refusal for want of room. Chosen, not measured. */
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
     private final Blackboard mBoard;
@@ -107,7 +110,7 @@
 
     /**
      * Withdraws a request whose caller has gone. If it was placed meanwhile, its verdict says so
-     * and its owner gives back what it holds.
+     * and its owner releases what it holds.
      *
      * @param ticket the request
      */
@@ -118,7 +121,7 @@
     }
 
     /**
-     * Gives back what a placed request held.
+     * Releases what a placed request held.
      *
      * @param ticket the request
      * @param reservation its reservation
--- a/org.orchidmount/src/main/java/org/orchidmount/internal/claims/FileClaimStore.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/internal/claims/FileClaimStore.java
@@ -30,7 +30,7 @@
  *
  * <p>Invariants: a claim is synced before it is granted. A claim that was granted by an earlier run
  * of the process and has no end is unknown, because that run may have sent the request. Claims are
- * kept for {@link #RETENTION}; a resend after that is a new request, which callers are told in
+ * kept for {@link #RETENTION}; a resend after that is a new request, as callers read in
  * docs/OPERATIONS.md. Thread-safe.
  */
 public final class FileClaimStore implements ClaimStore, AutoCloseable {
--- a/org.orchidmount/src/main/java/org/orchidmount/internal/http/HttpCall.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/internal/http/HttpCall.java
@@ -212,7 +212,7 @@
         boolean reusable = mPooled.idleLimitNanos() > 0 && mConnection.isOpen();
         if (mRequestEnded && mBody.isDrained() && reusable) {
             mPooled.setCurrent(null);
-            mPool.giveBack(mPeer, mPooled);
+            mPool.release(mPeer, mPooled);
         } else {
             abort();
         }
--- a/org.orchidmount/src/main/java/org/orchidmount/internal/http/HttpConnections.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/internal/http/HttpConnections.java
@@ -38,9 +38,16 @@
  * <p>Invariant: a connection is used by one call at a time. Thread-safe.
  */
 public final class HttpConnections implements AutoCloseable {
+    /** Bytes read at a time. Chosen, not measured. */
     private static final int BUFFER_BYTES = 16 * 1024;
+
+    /** Bytes that the system holds for each socket. Chosen, not measured. */
     private static final int SOCKET_BUFFER_BYTES = 64 * 1024;
+
+    /** Idle connections kept for each peer. Chosen, not measured. */
     private static final int MAX_IDLE_PER_PEER = 64;
+
+    /** Nanoseconds that an idle connection is kept at most. Chosen, not measured. */
     private static final long MAX_IDLE_NANOS = TimeUnit.SECONDS.toNanos(5);
 
     private final OrderedLock mLock = new OrderedLock(LockRank.CONNECTIONS);
@@ -172,7 +179,7 @@
         }
     }
 
-    void giveBack(Peer peer, PooledConnection connection) {
+    void release(Peer peer, PooledConnection connection) {
         try (OrderedLock.Held _ = mLock.hold()) {
             Deque<Idle> idle = mIdle.computeIfAbsent(peer, p -> new ArrayDeque<>());
             if (idle.size() >= MAX_IDLE_PER_PEER) {
--- a/org.orchidmount/src/main/java/org/orchidmount/internal/http/PooledConnection.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/internal/http/PooledConnection.java
@@ -29,7 +29,7 @@
         return mConnection;
     }
 
-    /** Sets the call that is told if the connection closes; null for none. */
+    /** Sets the call that is notified if the connection closes; null for none. */
     void setCurrent(HttpCall call) {
         mCurrent = call;
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/membership/Registry.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/membership/Registry.java
@@ -82,7 +82,7 @@
     }
 
     /**
-     * Returns all registrations, those that left too, the ones heard of last at the end.
+     * Returns all registrations, those that left too, the ones received last at the end.
      *
      * @return a copy
      */
@@ -94,19 +94,19 @@
     }
 
     /**
-     * Returns the registrations heard of within a time.
+     * Returns the registrations received within a time.
      *
-     * @param sinceNanos the monotonic time from which on they must have been heard
+     * @param sinceNanos the monotonic time from which on they must have been received
      * @return a copy
      */
     public List<Registration> heardSince(long sinceNanos) {
-        List<Registration> heard = new ArrayList<>();
+        List<Registration> received = new ArrayList<>();
         for (Entry entry : mEntries.values()) {
             if (entry.heardNanos() - sinceNanos >= 0) {
-                heard.add(entry.registration());
+                received.add(entry.registration());
             }
         }
-        return heard;
+        return received;
     }
 
     /**
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Relay.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Relay.java
@@ -64,7 +64,7 @@
      * @param request the request
      * @param service the service chosen for it, one of the route's
      * @param client the client's side
-     * @param cancel told when the client goes
+     * @param cancel cancelled when the client goes
      * @throws IOException if the client has gone
      * @throws TimeoutException if the client reads too slowly
      * @throws InterruptedException if the thread is interrupted
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/FinalOutcome.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/FinalOutcome.java
@@ -5,7 +5,7 @@
  */
 package org.orchidmount.routing;
 
-/** What a client is told of a request that no upstream has answered. */
+/** What a client learns of a request that no upstream has answered. */
 public enum FinalOutcome {
     /** It has not run and will not; the client may come back. */
     NOT_RUN,
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/JointPolicy.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/JointPolicy.java
@@ -34,6 +34,7 @@
     /** Scores closer than this count as equal; then a random one is taken. */
     private static final double TIE_MILLIS = 0.5;
 
+    /** The least time to come back after a refusal. Chosen, not measured. */
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
     @Override
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/MemoryRule.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/MemoryRule.java
@@ -79,9 +79,9 @@
     /**
      * Tells which of two placements at an engine stays if both do not fit.
      *
-     * @param otherNanos when the other was first heard of here
+     * @param otherNanos when the other was first announced here
      * @param otherId its identity
-     * @param ownNanos when the placement in question was first heard of here
+     * @param ownNanos when the placement in question was first announced here
      * @param ownId its identity
      * @return true if the other stays
      */
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/MemoryWaitRule.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/MemoryWaitRule.java
@@ -23,6 +23,7 @@
     /** Bounds of the share, however small or large the request. Chosen, not measured. */
     private static final double MIN_SHARE = 0.1;
 
+    /** The largest share of the target. Chosen, not measured. */
     private static final double MAX_SHARE = 0.6;
 
     private MemoryWaitRule() {}
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/RetryAfter.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/RetryAfter.java
@@ -9,7 +9,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Why a refused client is told this time to come back. Every refusal that has not run carries one.
+ * Why a refused client gets this time to come back. Every refusal that has not run carries one.
  * Pure, but for the random source.
  */
 public final class RetryAfter {
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/Slowness.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/Slowness.java
@@ -26,6 +26,7 @@
     /** Bounds of one observation: a fast cached answer or a pause is no measure. Chosen. */
     private static final double MIN_RATIO = 0.7;
 
+    /** The largest ratio that one observation counts as. Chosen, not measured. */
     private static final double MAX_RATIO = 10;
 
     /** Takes the ratio of the time that an answer took to the time that was expected of it. */
--- a/org.orchidmount/src/main/java/org/orchidmount/settings/Located.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/settings/Located.java
@@ -38,7 +38,7 @@
      * Parses JSON with comments and trailing commas.
      *
      * @param text the text
-     * @param duplicates told of each key that stands twice in one object
+     * @param duplicates called with each key that stands twice in one object
      * @throws JsonParseException if the text is not JSON; it knows the place
      */
     static Located parse(String text, DuplicateListener duplicates) throws IOException {
@@ -100,7 +100,7 @@
         return items;
     }
 
-    /** Told of keys that stand twice. */
+    /** Called with keys that stand twice. */
     @FunctionalInterface
     interface DuplicateListener {
         /** Called for the second place of a key. */
--- a/org.orchidmount/src/main/java/org/orchidmount/settings/SiteSettingsReader.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/settings/SiteSettingsReader.java
@@ -17,7 +17,11 @@
  */
 public final class SiteSettingsReader {
     private static final double MILLIS = 1_000;
+
+    /** Share of prefill engines without a setting: round 731ee506. */
     private static final double DEFAULT_PREFILL_SHARE = 0.22;
+
+    /** Upper bound of a setting. Chosen, not measured. */
     private static final double LONGEST_STOP_SECONDS = 3_600;
 
     private SiteSettingsReader() {}
--- a/org.orchidmount/src/main/java/org/orchidmount/table/AccountRow.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/table/AccountRow.java
@@ -26,8 +26,8 @@
         int requestsPerSecond)
         implements Row {
     private static final Pattern SHA256 = Pattern.compile("[0-9a-f]{64}");
-    private static final int MOST_WEIGHT = 1000;
-    private static final int MOST_RUNNING = 1_000_000;
+    private static final int MAX_WEIGHT = 1000;
+    private static final int MAX_RUNNING = 1_000_000;
 
     /** Checks the fields. */
     public AccountRow {
@@ -38,9 +38,9 @@
                             + " account's key");
         }
         Fields.name("requestClass", requestClass);
-        Fields.range("weight", weight, 1, MOST_WEIGHT);
-        Fields.range("maxRunning", maxRunning, 0, MOST_RUNNING);
-        Fields.range("requestsPerSecond", requestsPerSecond, 0, MOST_RUNNING);
+        Fields.range("weight", weight, 1, MAX_WEIGHT);
+        Fields.range("maxRunning", maxRunning, 0, MAX_RUNNING);
+        Fields.range("requestsPerSecond", requestsPerSecond, 0, MAX_RUNNING);
     }
 
     @Override
--- a/org.orchidmount/src/main/java/org/orchidmount/table/ClassRow.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/table/ClassRow.java
@@ -6,7 +6,7 @@
 package org.orchidmount.table;
 
 /**
- * A request class: its weight in the queue and the lateness it bears. Immutable.
+ * A request class: its weight in the queue and the lateness it tolerates. Immutable.
  *
  * @param name the class's name, given in the header "Orchidmount-Class"
  * @param weight the share of this class in the queue against other classes, from 1 to 1000
@@ -26,20 +26,20 @@
         int maxRunning,
         int maxQueued)
         implements Row {
-    private static final int MOST_WEIGHT = 1000;
-    private static final int MOST_PRIORITY = 9;
-    private static final long MOST_MILLIS = 3_600_000;
-    private static final int MOST_RUNNING = 1_000_000;
+    private static final int MAX_WEIGHT = 1000;
+    private static final int MAX_PRIORITY = 9;
+    private static final long MAX_MILLIS = 3_600_000;
+    private static final int MAX_RUNNING = 1_000_000;
 
     /** Checks the fields. */
     public ClassRow {
         Fields.name("name", name);
-        Fields.range("weight", weight, 1, MOST_WEIGHT);
-        Fields.range("priority", priority, 0, MOST_PRIORITY);
-        Fields.range("maxWaitMillis", maxWaitMillis, 1, MOST_MILLIS);
-        Fields.range("maxFirstTokenMillis", maxFirstTokenMillis, 0, MOST_MILLIS);
-        Fields.range("maxRunning", maxRunning, 0, MOST_RUNNING);
-        Fields.range("maxQueued", maxQueued, 0, MOST_RUNNING);
+        Fields.range("weight", weight, 1, MAX_WEIGHT);
+        Fields.range("priority", priority, 0, MAX_PRIORITY);
+        Fields.range("maxWaitMillis", maxWaitMillis, 1, MAX_MILLIS);
+        Fields.range("maxFirstTokenMillis", maxFirstTokenMillis, 0, MAX_MILLIS);
+        Fields.range("maxRunning", maxRunning, 0, MAX_RUNNING);
+        Fields.range("maxQueued", maxQueued, 0, MAX_RUNNING);
     }
 
     @Override
--- a/org.orchidmount/src/main/java/org/orchidmount/table/ModelRow.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/table/ModelRow.java
@@ -29,22 +29,22 @@
         int maxOutputTokens,
         int maxRunning)
         implements Row {
-    private static final long MOST_MILLIS = 3_600_000;
-    private static final long MOST_KV_BYTES = 1L << 30;
-    private static final int MOST_TOKENS = 10_000_000;
-    private static final int MOST_RUNNING = 1_000_000;
+    private static final long MAX_MILLIS = 3_600_000;
+    private static final long MAX_KV_BYTES = 1L << 30;
+    private static final int MAX_TOKENS = 10_000_000;
+    private static final int MAX_RUNNING = 1_000_000;
 
     /** Checks the fields. */
     public ModelRow {
         Fields.name("name", name);
         Fields.name("prefillPool", prefillPool);
         Fields.name("decodePool", decodePool);
-        Fields.range("firstTokenTargetMillis", firstTokenTargetMillis, 1, MOST_MILLIS);
-        Fields.range("tokenGapTargetMillis", tokenGapTargetMillis, 1, MOST_MILLIS);
-        Fields.range("kvBytesPerToken", kvBytesPerToken, 1, MOST_KV_BYTES);
-        Fields.range("maxPromptTokens", maxPromptTokens, 1, MOST_TOKENS);
-        Fields.range("maxOutputTokens", maxOutputTokens, 1, MOST_TOKENS);
-        Fields.range("maxRunning", maxRunning, 0, MOST_RUNNING);
+        Fields.range("firstTokenTargetMillis", firstTokenTargetMillis, 1, MAX_MILLIS);
+        Fields.range("tokenGapTargetMillis", tokenGapTargetMillis, 1, MAX_MILLIS);
+        Fields.range("kvBytesPerToken", kvBytesPerToken, 1, MAX_KV_BYTES);
+        Fields.range("maxPromptTokens", maxPromptTokens, 1, MAX_TOKENS);
+        Fields.range("maxOutputTokens", maxOutputTokens, 1, MAX_TOKENS);
+        Fields.range("maxRunning", maxRunning, 0, MAX_RUNNING);
     }
 
     @Override
--- a/org.orchidmount/src/main/java/org/orchidmount/table/RowKind.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/table/RowKind.java
@@ -17,7 +17,7 @@
     POOL(PoolRow.class),
     /** A language model and the pools that serve it. */
     MODEL(ModelRow.class),
-    /** A request class: its weight and the lateness it bears. */
+    /** A request class: its weight and the lateness it tolerates. */
     CLASS(ClassRow.class),
     /** A client account: its key, weight and limits. */
     ACCOUNT(AccountRow.class),
--- a/org.orchidmount/src/main/java/org/orchidmount/table/TableStore.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/table/TableStore.java
@@ -31,7 +31,7 @@
     ChangeResult apply(Change change);
 
     /**
-     * Registers a listener that is told of each new revision, in order.
+     * Registers a listener that is called with each new revision, in order.
      *
      * @param listener the listener; it must not block
      */
--- a/org.orchidmount/src/main/java/org/orchidmount/table/UpstreamRow.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/table/UpstreamRow.java
@@ -33,25 +33,25 @@
         int prefillTokensPerSecond,
         long linkBytesPerSecond)
         implements Row {
-    private static final int MOST_PORT = 65_535;
-    private static final int MOST_WEIGHT = 1000;
-    private static final int MOST_RUNNING = 1_000_000;
-    private static final long MOST_BYTES = 1L << 50;
-    private static final int MOST_RATE = 100_000_000;
+    private static final int MAX_PORT = 65_535;
+    private static final int MAX_WEIGHT = 1000;
+    private static final int MAX_RUNNING = 1_000_000;
+    private static final long MAX_BYTES = 1L << 50;
+    private static final int MAX_RATE = 100_000_000;
 
     /** Checks the fields. */
     public UpstreamRow {
         Fields.name("name", name);
         Fields.name("pool", pool);
         Fields.name("host", host);
-        Fields.range("port", port, 1, MOST_PORT);
+        Fields.range("port", port, 1, MAX_PORT);
         Fields.name("zone", zone);
         Fields.present("mode", mode, "give active or draining");
-        Fields.range("weight", weight, 1, MOST_WEIGHT);
-        Fields.range("maxRunning", maxRunning, 0, MOST_RUNNING);
-        Fields.range("kvBytes", kvBytes, 0, MOST_BYTES);
-        Fields.range("prefillTokensPerSecond", prefillTokensPerSecond, 0, MOST_RATE);
-        Fields.range("linkBytesPerSecond", linkBytesPerSecond, 0, MOST_BYTES);
+        Fields.range("weight", weight, 1, MAX_WEIGHT);
+        Fields.range("maxRunning", maxRunning, 0, MAX_RUNNING);
+        Fields.range("kvBytes", kvBytes, 0, MAX_BYTES);
+        Fields.range("prefillTokensPerSecond", prefillTokensPerSecond, 0, MAX_RATE);
+        Fields.range("linkBytesPerSecond", linkBytesPerSecond, 0, MAX_BYTES);
     }
 
     /**
--- a/org.orchidmount/src/main/java/org/orchidmount/upstream/CancelSignal.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/upstream/CancelSignal.java
@@ -85,7 +85,7 @@
     public enum Reason {
         /** Nobody waits for the answer. */
         CALLER_GONE,
-        /** The instance stops and will not wait for the work; the caller is to be told. */
+        /** The instance stops and will not wait for the work; the caller gets that answer. */
         INSTANCE_STOPPING
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/upstream/EngineClient.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/upstream/EngineClient.java
@@ -51,7 +51,7 @@
      *
      * @param engine the engine
      * @param id the id the request was sent under
-     * @return true if the engine knew the request, false if not; or why it cannot be told
+     * @return true if the engine knew the request, false if not; or why that is unknown
      */
     Attempt<Boolean> cancel(Peer engine, String id);
 
@@ -68,7 +68,7 @@
      * Lists the requests an engine holds.
      *
      * @param engine the engine
-     * @return the requests, or why they cannot be told
+     * @return the requests, or why they are unknown
      */
     Attempt<List<RunningRequest>> running(Peer engine);
 }
