--- a/org.orchidmount/src/main/java/org/orchidmount/relay/EnginePlacer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/EnginePlacer.java
@@ -9,6 +9,7 @@
 import java.util.HashSet;
 import java.util.Optional;
 import java.util.Set;
+import org.orchidmount.internal.log.PartLog;
 import org.orchidmount.load.InFlightSequence;
 import org.orchidmount.membership.Registration.Stage;
 import org.orchidmount.routes.Service;
@@ -26,6 +27,8 @@
  * what was reserved or announced and is not used is released. Used by one virtual thread.
  */
 final class EnginePlacer {
+    private static final PartLog LOG = PartLog.of("engine");
+
     /** Pause between two looks for room. Chosen: some refreshes of what others announce. */
     private static final Duration POLL = Duration.ofMillis(45);
 
@@ -104,14 +107,28 @@
         while (!mCancel.isCancelled()) {
             Optional<Placement> placement = placeByChoice(tried);
             long nowNanos = mContext.clock().nanoTime();
-            if (placement.isPresent() || nowNanos - untilNanos > 0) {
+            if (placement.isPresent()) {
                 return placement;
             }
+            if (nowNanos - untilNanos > 0) {
+                logNoPlace();
+                return Optional.empty();
+            }
             Thread.sleep(POLL);
         }
         return Optional.empty();
     }
 
+    private void logNoPlace() {
+        LOG.debug(
+                "%s: no decode engine for %d tokens within %d ms, prefill %s, no room at %s",
+                mRequest.id(),
+                reservedTokens(),
+                mLongestWait.toMillis(),
+                mPrefiller.choice(),
+                saturatedEngines());
+    }
+
     private Optional<Placement> placeByChoice(Set<String> tried) throws InterruptedException {
         PrefillRule.Choice choice = mPrefiller.choice();
         if (choice != PrefillRule.Choice.UNSPLIT_IF_IDLE_ELSE_SPLIT) {
@@ -171,10 +188,7 @@
 
     /** Names the engines that have no room, or that the choice rules out. */
     private Set<String> excluded(PrefillRule.Choice choice) {
-        Set<String> excluded = new HashSet<>();
-        mService.engine()
-                .map(engine -> mContext.loads().saturatedEngines(mOutput, engine.memoryTokens()))
-                .ifPresent(excluded::addAll);
+        Set<String> excluded = new HashSet<>(saturatedEngines());
         if (choice == PrefillRule.Choice.UNSPLIT_IF_IDLE) {
             excluded.addAll(
                     mContext.upstreams().unfit(mService.name(), Stage.DECODE, this::isNearlyIdle));
@@ -182,6 +196,12 @@
         return excluded;
     }
 
+    private Set<String> saturatedEngines() {
+        return mService.engine()
+                .map(engine -> mContext.loads().saturatedEngines(mOutput, engine.memoryTokens()))
+                .orElseGet(Set::of);
+    }
+
     private boolean isNearlyIdle(String upstreamId) {
         return PrefillRule.isNearlyIdle(
                 mPrompt.tokens(),
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Upstream.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Upstream.java
@@ -54,6 +54,10 @@
         return mHealth.expectedMillis(ordinaryMillis(workMillis, backlog), nowNanos);
     }
 
+    boolean isEjected(long nowNanos) {
+        return mHealth.backoff().isEjected(nowNanos);
+    }
+
     void learn(UnaryOperator<UpstreamHealth> observation) {
         mHealth = observation.apply(mHealth);
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamDirectory.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamDirectory.java
@@ -14,12 +14,12 @@
 import java.util.OptionalDouble;
 import java.util.Set;
 import java.util.function.Predicate;
-import java.util.function.UnaryOperator;
 import java.util.random.RandomGenerator;
 import java.util.stream.Collectors;
 import org.orchidmount.clock.MonotonicClock;
 import org.orchidmount.internal.lock.LockRank;
 import org.orchidmount.internal.lock.OrderedLock;
+import org.orchidmount.internal.log.PartLog;
 import org.orchidmount.membership.Registration;
 import org.orchidmount.membership.Registration.Stage;
 import org.orchidmount.membership.Registration.State;
@@ -35,6 +35,8 @@
  * lock.
  */
 public final class UpstreamDirectory {
+    private static final PartLog LOG = PartLog.of("upstreams");
+
     /** Upstreams beyond which those that have left are forgotten; half the target's. Chosen. */
     private static final int FORGET_COUNT = 4_096;
 
@@ -223,10 +225,16 @@
     }
 
     private void learn(Assignment assignment, Observation observation) {
+        boolean ejected;
         try (OrderedLock.Held _ = mLock.hold()) {
             long nowNanos = mClock.nanoTime();
-            UnaryOperator<UpstreamHealth> now = health -> observation.apply(health, nowNanos);
-            assignment.upstream().learn(now);
+            Upstream upstream = assignment.upstream();
+            boolean wasEjected = upstream.isEjected(nowNanos);
+            upstream.learn(health -> observation.apply(health, nowNanos));
+            ejected = upstream.isEjected(nowNanos) && !wasEjected;
+        }
+        if (ejected) {
+            LOG.info("upstream %s fails and is ejected for a while", assignment.id());
         }
     }
 
