--- a/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/CompletionRun.java
+++ b/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/CompletionRun.java
@@ -27,6 +27,8 @@
 import org.orchidmount.routing.Decision;
 import org.orchidmount.routing.PromptBlocks;
 import org.orchidmount.routing.RequestInfo;
+import org.orchidmount.routing.RetryAfter;
+import org.orchidmount.routing.TableAttemptRule;
 import org.orchidmount.upstream.CancelSignal;
 import org.orchidmount.upstream.EngineRequest;
 import org.orchidmount.upstream.PrefillResult;
@@ -43,12 +45,6 @@
 final class CompletionRun {
     private static final PartLog LOG = PartLog.of("request");
 
-    /** The most attempts of a request. Chosen, not measured. */
-    private static final int MAX_ATTEMPTS = 3;
-
-    /** When to come back to an instance that stops. Chosen, not measured. */
-    private static final long STOP_RETRY_MILLIS = 1_000;
-
     private final Parts mParts;
     private final CompletionRequest mRequest;
     private final String mId;
@@ -133,7 +129,9 @@
             return true;
         }
         LOG.info("%s: attempt %d failed: %s", mId, mAttempt, failure.describe());
-        boolean again = isRetryable(failure) && mAttempt < MAX_ATTEMPTS;
+        boolean again =
+                TableAttemptRule.mayRetryCompletion(failure)
+                        && TableAttemptRule.hasAttemptsLeft(mAttempt);
         if (again && mayRetry()) {
             mExcluded.add(failure.peer());
             return false;
@@ -148,15 +146,14 @@
             count("gone");
             return;
         }
-        finish(refusal(new Decision.Refuse(Decision.RefuseReason.STOPPING, STOP_RETRY_MILLIS)));
+        finish(
+                refusal(
+                        new Decision.Refuse(
+                                Decision.RefuseReason.STOPPING, RetryAfter.TABLE_MILLIS)));
     }
 
-    /**
-     * Asks the retry budget. An answer that its caller has in part goes on without asking: giving
-     * it up would waste all its work, and there are no more such answers than were in progress.
-     */
     private boolean mayRetry() {
-        return mDelivered > 0 || mParts.retries().tryTake();
+        return !TableAttemptRule.takesFromBudget(mDelivered) || mParts.retries().tryTake();
     }
 
     private Failure serve(Reservation reservation) throws InterruptedException {
@@ -300,17 +297,6 @@
         body.put("add_generation_prompt", false);
     }
 
-    private static boolean isRetryable(Failure failure) {
-        return switch (failure) {
-            case Failure.Rejected rejected ->
-                    rejected.status() >= StatusCodes.INTERNAL_SERVER_ERROR
-                            || rejected.status() == StatusCodes.TOO_MANY_REQUESTS
-                            || rejected.status() == StatusCodes.NOT_FOUND;
-            case Failure.CallerGone _, Failure.Superseded _ -> false;
-            default -> true;
-        };
-    }
-
     private Refusal refusal(Failure failure) {
         String message = Messages.UPSTREAMS_FAILED.formatted(failure.describe());
         if (!mMayHaveRun) {
--- a/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/PlainForwarder.java
+++ b/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/PlainForwarder.java
@@ -32,6 +32,8 @@
 import org.orchidmount.internal.http.ServerExchange;
 import org.orchidmount.internal.log.PartLog;
 import org.orchidmount.internal.upstream.EngineProtocol;
+import org.orchidmount.routing.RetryAfter;
+import org.orchidmount.routing.TableAttemptRule;
 import org.orchidmount.table.RouteRow;
 import org.orchidmount.upstream.CancelSignal;
 
@@ -44,18 +46,12 @@
 final class PlainForwarder {
     private static final PartLog LOG = PartLog.of("plain");
 
-    /** The most attempts of a repeatable call. Chosen, not measured. */
-    private static final int MAX_ATTEMPTS = 3;
-
     /** Request bodies up to this size are held, so that the call can be retried. */
     private static final int MAX_HELD_REQUEST_BYTES = 64 * 1024;
 
     /** Answers up to this size are held, so that their outcome can stand in the head. */
     private static final int MAX_HELD_ANSWER_BYTES = 256 * 1024;
 
-    /** When to come back if no instance is free. Chosen, not measured. */
-    private static final long RETRY_AFTER_MILLIS = 1_000;
-
     /** The host of the service is set anew with its address. */
     private static final Set<HttpString> SET_ANEW = Set.of(Headers.HOST);
 
@@ -98,7 +94,7 @@
         List<String> failed = new ArrayList<>();
         boolean mayHaveRun = false;
         Failure last = null;
-        for (int attempt = 1; attempt <= MAX_ATTEMPTS; attempt++) {
+        for (int attempts = 0; TableAttemptRule.hasAttemptsLeft(attempts); attempts++) {
             Optional<Peer> chosen = mParts.board().acquirePlain(route.pool(), failed);
             if (chosen.isEmpty()) {
                 break;
@@ -118,7 +114,7 @@
             mParts.board().failed(peer.name());
             mayHaveRun |= last.mayHaveRun();
             failed.add(peer.name());
-            boolean resendable = held || !last.mayHaveRun();
+            boolean resendable = TableAttemptRule.mayResendPlain(held, last);
             if (!resendable || !mParts.retries().tryTake()) {
                 break;
             }
@@ -147,7 +143,7 @@
                                 StatusCodes.SERVICE_UNAVAILABLE,
                                 "no_upstream",
                                 message,
-                                RETRY_AFTER_MILLIS);
+                                RetryAfter.TABLE_MILLIS);
         count(refusal.outcome());
         Answers.refuse(exchange, id, refusal, mWriteTimeout);
     }
--- a/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/PlainHandler.java
+++ b/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/PlainHandler.java
@@ -26,6 +26,7 @@
 import org.orchidmount.internal.http.ServerExchange;
 import org.orchidmount.internal.log.PartLog;
 import org.orchidmount.limits.LimitBook.Limit;
+import org.orchidmount.routing.RetryAfter;
 import org.orchidmount.table.PoolRow;
 import org.orchidmount.table.RouteRow;
 import org.orchidmount.table.Table;
@@ -41,9 +42,6 @@
 final class PlainHandler {
     private static final PartLog LOG = PartLog.of("plain");
 
-    /** When to come back to an instance that stops. Chosen, not measured. */
-    private static final long RETRY_AFTER_MILLIS = 1_000;
-
     private final Parts mParts;
     private final PlainForwarder mForwarder;
     private final Duration mWriteTimeout;
@@ -93,7 +91,7 @@
                     StatusCodes.SERVICE_UNAVAILABLE,
                     "stopping",
                     Messages.STOPPING,
-                    RETRY_AFTER_MILLIS);
+                    RetryAfter.TABLE_MILLIS);
         }
         long waitMillis = mParts.limits().takeRate(identity.account(), mParts.clock().nanoTime());
         if (waitMillis > 0) {
@@ -116,7 +114,7 @@
                     StatusCodes.TOO_MANY_REQUESTS,
                     "limit_reached",
                     Messages.LIMIT_REACHED.formatted(reached.get().key()),
-                    RETRY_AFTER_MILLIS);
+                    RetryAfter.TABLE_MILLIS);
         }
         return limits;
     }
@@ -188,7 +186,7 @@
                                     StatusCodes.SERVICE_UNAVAILABLE,
                                     "no_upstream",
                                     Messages.NO_UPSTREAM.formatted("the route"),
-                                    RETRY_AFTER_MILLIS);
+                                    RetryAfter.TABLE_MILLIS);
                     case ClaimResult.Mismatch _ ->
                             Refusal.bad(
                                     StatusCodes.UNPROCESSABLE_ENTITY,
@@ -199,14 +197,14 @@
                                     StatusCodes.SERVICE_UNAVAILABLE,
                                     "claim_unavailable",
                                     Messages.CLAIM_UNAVAILABLE,
-                                    RETRY_AFTER_MILLIS);
+                                    RetryAfter.TABLE_MILLIS);
                     default ->
                             new Refusal(
                                     StatusCodes.CONFLICT,
                                     "still_running",
                                     Messages.CLAIM_RUNNING,
                                     Outcome.UNKNOWN,
-                                    RETRY_AFTER_MILLIS);
+                                    RetryAfter.TABLE_MILLIS);
                 };
         Outcome outcome = refusal == null ? Outcome.COMPLETED : refusal.outcome();
         mParts.metrics().meter(MetricRegistry.name("plain", "ended", outcome.label())).mark();
--- a/org.orchidmount/src/main/java/org/orchidmount/controller/Admission.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/controller/Admission.java
@@ -21,6 +21,7 @@
 import org.orchidmount.routing.Decision;
 import org.orchidmount.routing.DecisionInput;
 import org.orchidmount.routing.Policy;
+import org.orchidmount.routing.RetryAfter;
 import org.orchidmount.table.AccountRow;
 import org.orchidmount.table.ClassRow;
 import org.orchidmount.table.ModelRow;
@@ -38,9 +39,6 @@
     /** Pause between two rounds of the queue without an event. Chosen, not measured. */
     private static final Duration TICK = Duration.ofMillis(20);
 
-    /** When to come back after a refusal for want of room. Chosen, not measured. */
-    private static final long RETRY_AFTER_MILLIS = 1_000;
-
     private final Blackboard mBoard;
     private final LimitBook mLimits;
     private final Policy mPolicy;
@@ -153,7 +151,7 @@
 
     private Decision.Refuse refuseAtOnce(Ticket ticket) {
         if (mStopping) {
-            return new Decision.Refuse(Decision.RefuseReason.STOPPING, RETRY_AFTER_MILLIS);
+            return new Decision.Refuse(Decision.RefuseReason.STOPPING, RetryAfter.TABLE_MILLIS);
         }
         long retryAfterMillis = mLimits.takeRate(ticket.account(), mClock.nanoTime());
         if (retryAfterMillis > 0) {
@@ -161,7 +159,7 @@
         }
         int mostQueued = ticket.requestClass().maxQueued();
         if (mostQueued > 0 && mBoard.queued(ticket.requestClass().name()) >= mostQueued) {
-            return new Decision.Refuse(Decision.RefuseReason.QUEUE_FULL, RETRY_AFTER_MILLIS);
+            return new Decision.Refuse(Decision.RefuseReason.QUEUE_FULL, RetryAfter.TABLE_MILLIS);
         }
         return null;
     }
@@ -170,7 +168,7 @@
         long nowNanos = mClock.nanoTime();
         List<Ticket> expired = mBoard.removeQueued(ticket -> hasWaitedTooLong(ticket, nowNanos));
         Decision.Refuse refuse =
-                new Decision.Refuse(Decision.RefuseReason.WAITED_TOO_LONG, RETRY_AFTER_MILLIS);
+                new Decision.Refuse(Decision.RefuseReason.WAITED_TOO_LONG, RetryAfter.TABLE_MILLIS);
         expired.forEach(ticket -> complete(ticket, new Ticket.Verdict.Refused(refuse)));
         mBoard.dispatch(this::decide)
                 .forEach(decided -> complete(decided.ticket(), decided.verdict()));
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/JointPolicy.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/JointPolicy.java
@@ -34,9 +34,6 @@
     /** Scores closer than this count as equal; then a random one is taken. */
     private static final double TIE_MILLIS = 0.5;
 
-    /** The least time to come back after a refusal. Chosen, not measured. */
-    private static final long RETRY_AFTER_MILLIS = 1_000;
-
     @Override
     public String name() {
         return NAME;
@@ -63,7 +60,8 @@
         long predicted = (long) Math.ceil(waitedMillis + ahead);
         if (request.maxFirstTokenMillis() > 0 && predicted > request.maxFirstTokenMillis()) {
             return new Decision.Refuse(
-                    Decision.RefuseReason.TOO_LATE, Math.max(RETRY_AFTER_MILLIS, (long) ahead));
+                    Decision.RefuseReason.TOO_LATE,
+                    Math.max(RetryAfter.TABLE_MILLIS, (long) ahead));
         }
         return new Decision.Place(
                 prefill.candidate().upstream().name(),
@@ -74,7 +72,7 @@
     private static Decision waitOrRefuse(
             RequestInfo request, double waitedMillis, Decision.WaitReason reason) {
         if (request.maxFirstTokenMillis() > 0 && waitedMillis > request.maxFirstTokenMillis()) {
-            return new Decision.Refuse(Decision.RefuseReason.TOO_LATE, RETRY_AFTER_MILLIS);
+            return new Decision.Refuse(Decision.RefuseReason.TOO_LATE, RetryAfter.TABLE_MILLIS);
         }
         return new Decision.Wait(reason);
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/RetryAfter.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/RetryAfter.java
@@ -19,6 +19,9 @@
     /** No table is known yet: an instance that starts has one within a second. Chosen. */
     public static final Duration NO_TABLE = Duration.ofMillis(500);
 
+    /** Milliseconds; every refusal of a request to the table's upstreams. Chosen, not measured. */
+    public static final long TABLE_MILLIS = 1_000;
+
     /** Upstreams of a plain service refused: they have room again after some requests. Chosen. */
     private static final Duration PLAIN_SERVICE = Duration.ofMillis(200);
 
