--- a/org.orchidmount/src/main/java/org/orchidmount/blackboard/Blackboard.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/blackboard/Blackboard.java
@@ -382,20 +382,6 @@
         }
     }
 
-    /** Decides on a waiting request under the board's lock. */
-    @FunctionalInterface
-    public interface Decider {
-        /**
-         * Decides.
-         *
-         * @param ticket the request
-         * @param input what the decision depends on
-         * @param table the table in force
-         * @return the decision
-         */
-        Decision decide(Ticket ticket, DecisionInput input, Table table);
-    }
-
     /**
      * A request that left the queue.
      *
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/AttemptRunner.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/AttemptRunner.java
@@ -28,8 +28,8 @@
  * Carries out the attempts of one request: calls an upstream, passes its response on, and reports
  * what the attempt proves. It decides nothing; {@link RequestRelay} does.
  *
- * <p>Invariants: only a whole response, or whole events in rising order, reach the client; what the
- * client has in part is continued only with what follows it. Used by one virtual thread.
+ * <p>Invariants: only a whole response, or whole events in rising order, reach the caller; what the
+ * caller has in part is continued only with what follows it. Used by one virtual thread.
  */
 final class AttemptRunner {
     private static final PartLog LOG = PartLog.of("relay");
@@ -43,7 +43,7 @@
     private final RelayContext mContext;
     private final RelayRequest mRequest;
     private final Route mRoute;
-    private final CallerResponse mClient;
+    private final CallerResponse mCaller;
     private final CancelSignal mCancel;
     private final Optional<SequenceTracker> mTracker;
     private final long mArrivedNanos;
@@ -63,19 +63,19 @@
     AttemptRunner(
             RelayContext context,
             RelayRequest request,
-            CallerResponse client,
+            CallerResponse caller,
             CancelSignal cancel,
             Optional<SequenceTracker> tracker) {
         mContext = context;
         mRequest = request;
         mRoute = request.route();
-        mClient = client;
+        mCaller = caller;
         mCancel = cancel;
         mTracker = tracker;
         mArrivedNanos = context.clock().nanoTime();
     }
 
-    /** Returns why the latest attempt did not serve the client. */
+    /** Returns why the latest attempt did not serve the caller. */
     String lastFailure() {
         return mLastFailure;
     }
@@ -85,7 +85,7 @@
         return mHeld;
     }
 
-    /** Returns the stream that the client has in part, if any. */
+    /** Returns the stream that the caller has in part, if any. */
     Optional<StreamForward> begunStream() {
         return mStream.filter(StreamForward::isStarted);
     }
@@ -97,8 +97,8 @@
      * @param cache where the prompt's KV cache is, if it was prefilled elsewhere
      * @param history the attempts before
      * @return what the attempt proves
-     * @throws IOException if the client has gone
-     * @throws TimeoutException if the client reads too slowly
+     * @throws IOException if the caller has gone
+     * @throws TimeoutException if the caller reads too slowly
      * @throws InterruptedException if the thread is interrupted
      */
     AttemptOutcome run(Placement placement, Optional<KvCacheRef> cache, AttemptRule.History history)
@@ -196,14 +196,14 @@
             mLastFailure = "status " + status + " for the rest of a stream";
             return AttemptOutcome.MAY_HAVE_RUN;
         }
-        mClient.whole(status, headers, body);
+        mCaller.whole(status, headers, body);
         return AttemptOutcome.ENDED;
     }
 
     private AttemptOutcome onStream(
             Placement placement, HttpCall call, int status, HeaderMap headers)
             throws CallFailedException, IOException, TimeoutException, InterruptedException {
-        StreamForward stream = mStream.orElseGet(() -> new StreamForward(mClient, status, headers));
+        StreamForward stream = mStream.orElseGet(() -> new StreamForward(mCaller, status, headers));
         mStream = Optional.of(stream);
         long before = stream.last();
         StreamTiming timing = forward(placement, call, stream);
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/CallerResponse.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/CallerResponse.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeoutException;
 import org.orchidmount.routing.FinalOutcome;
 
-/** The client's side of a request. Used by one thread. */
+/** The caller's side of a request. Used by one thread. */
 public interface CallerResponse {
     /**
      * Sends a whole response of an upstream.
@@ -19,8 +19,8 @@
      * @param status its status
      * @param headers its fields
      * @param body its body
-     * @throws IOException if the client has gone
-     * @throws TimeoutException if the client reads too slowly
+     * @throws IOException if the caller has gone
+     * @throws TimeoutException if the caller reads too slowly
      * @throws InterruptedException if the thread is interrupted
      */
     void whole(int status, HeaderMap headers, byte[] body)
@@ -38,8 +38,8 @@
      * Sends a part.
      *
      * @param part the part
-     * @throws IOException if the client has gone
-     * @throws TimeoutException if the client reads too slowly
+     * @throws IOException if the caller has gone
+     * @throws TimeoutException if the caller reads too slowly
      * @throws InterruptedException if the thread is interrupted
      */
     void part(byte[] part) throws IOException, TimeoutException, InterruptedException;
@@ -47,13 +47,13 @@
     /**
      * Ends a response in parts.
      *
-     * @throws IOException if the client has gone
-     * @throws TimeoutException if the client reads too slowly
+     * @throws IOException if the caller has gone
+     * @throws TimeoutException if the caller reads too slowly
      * @throws InterruptedException if the thread is interrupted
      */
     void end() throws IOException, TimeoutException, InterruptedException;
 
-    /** Cuts off a response that has begun, so that the client sees it is not whole. */
+    /** Cuts off a response that has begun, so that the caller sees it is not whole. */
     void cut();
 
     /**
@@ -61,8 +61,8 @@
      *
      * @param outcome what is known of it
      * @param retryAfter when to come back; of use only if the request has not run
-     * @throws IOException if the client has gone
-     * @throws TimeoutException if the client reads too slowly
+     * @throws IOException if the caller has gone
+     * @throws TimeoutException if the caller reads too slowly
      * @throws InterruptedException if the thread is interrupted
      */
     void refuse(FinalOutcome outcome, Duration retryAfter)
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/EnginePlacer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/EnginePlacer.java
@@ -86,9 +86,9 @@
 
     private Duration longestWait() {
         Duration target = mRequest.route().target();
-        Duration clientWait =
+        Duration callerWait =
                 Duration.ofNanos(mRequest.callerEndNanos() - mContext.clock().nanoTime());
-        if (mContext.clientRetries().isRetry(mRequest.route().name(), clientWait)) {
+        if (mContext.clientRetries().isRetry(mRequest.route().name(), callerWait)) {
             return MemoryWaitRule.forClientRetry(target);
         }
         int tokens = mOutput.promptTokens() + mOutput.expectedTokens();
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/EventFramer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/EventFramer.java
@@ -62,7 +62,7 @@
             mId = Long.parseLong(text);
         } catch (NumberFormatException ignored) {
             // A stream cannot be resumed at an id that is no number, so the one before stands.
-            // Not logged: it may happen with each event, and the client gets the event unchanged.
+            // Not logged: it may happen with each event, and the caller gets the event unchanged.
         }
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Prefiller.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Prefiller.java
@@ -159,17 +159,7 @@
                 CancelSignal.Registration _ = mCancel.onCancel(call::abort)) {
             ClientResponse response = call.awaitResponse(silenceLimit(assignment));
             call.limitIdle(protocol.idleTimeout(response));
-            byte[] body = call.readAll(BODY_TIMEOUT, RelayContext.MAX_CONTROL_BYTES);
-            if (!HttpStatus.isOk(response.getResponseCode())) {
-                LOG.debug(
-                        "%s: not prefilled at %s: status %d",
-                        mRequest.id(), assignment.id(), response.getResponseCode());
-                mContext.upstreams().saturated(assignment);
-                return Optional.empty();
-            }
-            mContext.upstreams().succeeded(assignment);
-            String address = assignment.peer().host() + ":" + assignment.peer().port();
-            return Optional.of(new KvCacheRef(address, protocol.handle(body)));
+            return onHead(assignment, call, response);
         } catch (CallFailedException e) {
             mContext.callFailed(assignment, e.failure(), mCancel);
         } catch (IOException e) {
@@ -181,6 +171,22 @@
         return Optional.empty();
     }
 
+    private Optional<KvCacheRef> onHead(
+            Assignment assignment, HttpCall call, ClientResponse response)
+            throws CallFailedException, IOException {
+        byte[] body = call.readAll(BODY_TIMEOUT, RelayContext.MAX_CONTROL_BYTES);
+        if (!HttpStatus.isOk(response.getResponseCode())) {
+            LOG.debug(
+                    "%s: not prefilled at %s: status %d",
+                    mRequest.id(), assignment.id(), response.getResponseCode());
+            mContext.upstreams().saturated(assignment);
+            return Optional.empty();
+        }
+        mContext.upstreams().succeeded(assignment);
+        String address = assignment.peer().host() + ":" + assignment.peer().port();
+        return Optional.of(new KvCacheRef(address, mContext.protocol().handle(body)));
+    }
+
     private Duration left() {
         return mRequest.left(mContext.clock().nanoTime());
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Relay.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Relay.java
@@ -63,15 +63,15 @@
      *
      * @param request the request
      * @param service the service chosen for it, one of the route's
-     * @param client the client's side
-     * @param cancel cancelled when the client goes
-     * @throws IOException if the client has gone
-     * @throws TimeoutException if the client reads too slowly
+     * @param caller the caller's side
+     * @param cancel cancelled when the caller goes
+     * @throws IOException if the caller has gone
+     * @throws TimeoutException if the caller reads too slowly
      * @throws InterruptedException if the thread is interrupted
      */
     public void serve(
-            RelayRequest request, Service service, CallerResponse client, CancelSignal cancel)
+            RelayRequest request, Service service, CallerResponse caller, CancelSignal cancel)
             throws IOException, TimeoutException, InterruptedException {
-        new RequestRelay(mContext, request, service, client, cancel).run();
+        new RequestRelay(mContext, request, service, caller, cancel).run();
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RelayContext.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RelayContext.java
@@ -31,7 +31,7 @@
  * @param retryBudgets the retry budget of each service
  * @param newRetryBudget creates the budget of a service that has none yet
  * @param outputLengths estimates the lengths of outputs
- * @param clientRetries tells retries of clients from new requests
+ * @param clientRetries tells retries of callers from new requests
  * @param loads the sequences in flight at engines
  * @param announcer announces sequences to the other instances
  * @param connections connections to upstreams
@@ -62,7 +62,7 @@
         return retryBudgets.computeIfAbsent(service, name -> newRetryBudget.get());
     }
 
-    /** Learns from a call that failed, unless it failed because its client had gone. */
+    /** Learns from a call that failed, unless it failed because its caller had gone. */
     void callFailed(Assignment assignment, Failure failure, CancelSignal cancel) {
         LOG.debug(failure.describe());
         if (cancel.isCancelled()) {
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RelayRequest.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RelayRequest.java
@@ -15,14 +15,14 @@
  * A request as it is handed to upstreams, independent of how it came. The headers and the body are
  * not to be changed.
  *
- * @param id the client's identity of the request
+ * @param id the caller's identity of the request
  * @param route its route
  * @param method the HTTP method
  * @param pathAndQuery the path and the query as they were sent
  * @param headers the fields that are passed on
  * @param body the whole body
  * @param endNanos the monotonic time at which the request must have its final answer
- * @param callerEndNanos the monotonic time until which the client waits, at least {@code endNanos}
+ * @param callerEndNanos the monotonic time until which the caller waits, at least {@code endNanos}
  * @param prompt set for requests to model engines
  */
 public record RelayRequest(
@@ -39,9 +39,9 @@
      * What is known of a request to a model engine before it runs.
      *
      * @param tokens the tokens of the prompt
-     * @param maxOutputTokens the most tokens of the output; 0 if the client states none
-     * @param expectedOutputTokens what the client expects the output to have; 0 if it states none
-     * @param afterEvent the last event that the client has; 0 for none
+     * @param maxOutputTokens the most tokens of the output; 0 if the caller states none
+     * @param expectedOutputTokens what the caller expects the output to have; 0 if it states none
+     * @param afterEvent the last event that the caller has; 0 for none
      */
     public record Prompt(
             int tokens, int maxOutputTokens, int expectedOutputTokens, long afterEvent) {}
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RequestRelay.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RequestRelay.java
@@ -39,7 +39,7 @@
     private final RelayRequest mRequest;
     private final Service mService;
     private final RetryBudget mBudget;
-    private final CallerResponse mClient;
+    private final CallerResponse mCaller;
     private final CancelSignal mCancel;
     private final Optional<EnginePlacer> mEngines;
     private final AttemptRunner mAttempts;
@@ -51,20 +51,20 @@
             RelayContext context,
             RelayRequest request,
             Service service,
-            CallerResponse client,
+            CallerResponse caller,
             CancelSignal cancel) {
         mContext = context;
         mRequest = request;
         mService = service;
         mBudget = context.retryBudget(service.name());
-        mClient = client;
+        mCaller = caller;
         mCancel = cancel;
         mEngines =
                 request.prompt()
                         .map(prompt -> new EnginePlacer(context, request, prompt, service, cancel));
         mAttempts =
                 new AttemptRunner(
-                        context, request, client, cancel, mEngines.map(EnginePlacer::tracker));
+                        context, request, caller, cancel, mEngines.map(EnginePlacer::tracker));
     }
 
     /** Serves the request to its end. */
@@ -159,10 +159,10 @@
         if (mAttempts.begunStream().isPresent()) {
             long last = mAttempts.begunStream().get().last();
             LOG.info("%s: cut after event %d: %s", mRequest.id(), last, mAttempts.lastFailure());
-            mClient.cut();
+            mCaller.cut();
         } else if (mAttempts.held().isPresent()) {
             HeldResponse held = mAttempts.held().get();
-            mClient.whole(held.status(), held.headers(), held.body());
+            mCaller.whole(held.status(), held.headers(), held.body());
         } else {
             refuse();
         }
@@ -173,7 +173,7 @@
         LOG.info(
                 "%s: %s after %d attempts: %s",
                 mRequest.id(), outcome, mHistory.attempts(), mAttempts.lastFailure());
-        mClient.refuse(
+        mCaller.refuse(
                 outcome, RetryAfter.noRoom(mEngines.isPresent(), ThreadLocalRandom.current()));
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamCall.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamCall.java
@@ -16,7 +16,7 @@
  * @param phase whether only the prompt is to be prefilled
  * @param cache where the prompt's KV cache is, if it was prefilled elsewhere
  * @param reservation the memory reserved for it there, if any
- * @param afterEvent the last event that the client has; 0 for none
+ * @param afterEvent the last event that the caller has; 0 for none
  */
 public record UpstreamCall(
         String upstreamId,
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamProtocol.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamProtocol.java
@@ -35,7 +35,7 @@
     ResponseKind classify(RelayRequest request, ClientResponse response);
 
     /**
-     * Returns the fields of a response that are passed on to the client.
+     * Returns the fields of a response that are passed on to the caller.
      *
      * @param response the head of the response
      * @return the fields
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/AttemptOutcome.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/AttemptOutcome.java
@@ -7,7 +7,7 @@
 
 /** How an attempt to serve a request at one upstream ended. */
 public enum AttemptOutcome {
-    /** The client has its answer, or has gone. */
+    /** The caller has its answer, or has gone. */
     ENDED,
     /** The upstream was never reached. */
     NOT_REACHED,
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/ClientRetryDetector.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/ClientRetryDetector.java
@@ -11,9 +11,9 @@
 import org.orchidmount.clock.MonotonicClock;
 
 /**
- * Tells the retry of a client that was refused from a new request.
+ * Tells the retry of a caller that was refused from a new request.
  *
- * <p>Clients state how long they still wait, and those of one route all wait equally long at first;
+ * <p>Callers state how long they still wait, and those of one route all wait equally long at first;
  * one that states clearly less has been refused before. Thread-safe.
  */
 public final class ClientRetryDetector {
@@ -25,7 +25,7 @@
 
     /**
      * How long a stated wait counts at least, and twice that at most. Chosen: far longer than a
-     * client waits, so that one client with a long wait does not make retries of all later ones.
+     * caller waits, so that one caller with a long wait does not make retries of all later ones.
      */
     private static final Duration WINDOW = Duration.ofMinutes(10);
 
@@ -68,7 +68,7 @@
      * Takes a request into account.
      *
      * @param route its route's name
-     * @param wait how long its client still waits
+     * @param wait how long its caller still waits
      * @return true if it is a retry
      */
     public boolean isRetry(String route, Duration wait) {
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/FinalOutcome.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/FinalOutcome.java
@@ -5,9 +5,9 @@
  */
 package org.orchidmount.routing;
 
-/** What a client learns of a request that no upstream has answered. */
+/** What a caller learns of a request that no upstream has answered. */
 public enum FinalOutcome {
-    /** It has not run and will not; the client may come back. */
+    /** It has not run and will not; the caller may come back. */
     NOT_RUN,
     /** It may have run. */
     MAY_HAVE_RUN,
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/MemoryWaitRule.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/MemoryWaitRule.java
@@ -10,8 +10,8 @@
 /**
  * Why a request waits for memory at a decode engine, and for how long before it is refused. Pure.
  *
- * <p>A new request is refused early enough that its client's retry is still in time. A client retry
- * is not refused again while there is hope: being refused twice costs the client its answer.
+ * <p>A new request is refused early enough that its caller's retry is still in time. A client retry
+ * is not refused again while there is hope: being refused twice costs the caller its answer.
  */
 public final class MemoryWaitRule {
     /** Percent of the target that a client retry waits: rounds 46fecd39 and 0f79ce8a. */
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/OutputLengthEstimator.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/OutputLengthEstimator.java
@@ -6,14 +6,14 @@
 package org.orchidmount.routing;
 
 /**
- * Estimates how many tokens outputs have, from what clients expect, and how large requests are
+ * Estimates how many tokens outputs have, from what callers expect, and how large requests are
  * against the mean.
  *
- * <p>Clients' estimates are right at the median but spread widely (deviation of the logarithm 0.38
+ * <p>Callers' estimates are right at the median but spread widely (deviation of the logarithm 0.38
  * over 260 outputs, trial d3944360), so an estimate is drawn towards the mean of all. Thread-safe.
  */
 public final class OutputLengthEstimator {
-    /** Weight of the client's own estimate against the mean of all. Chosen, not measured. */
+    /** Weight of the caller's own estimate against the mean of all. Chosen, not measured. */
     private static final double OWN_WEIGHT = 0.65;
 
     /**
@@ -25,17 +25,17 @@
     /** Smoothing factor of both means: some 30 requests. Chosen, not measured. */
     private static final double SMOOTHING = 0.03;
 
-    /** Tokens assumed before any client has stated an estimate. Chosen, not measured. */
+    /** Tokens assumed before any caller has stated an estimate. Chosen, not measured. */
     private static final double UNKNOWN_TOKENS = 1_000;
 
-    /** The least tokens estimated, unless the client's limit is lower. Chosen, not measured. */
+    /** The least tokens estimated, unless the caller's limit is lower. Chosen, not measured. */
     private static final int MIN_TOKENS = 64;
 
     private double mLogMean;
     private double mMeanRequestTokens;
 
     /**
-     * What a client states of the output it wants.
+     * What a caller states of the output it wants.
      *
      * @param expectedTokens its estimate; 0 if it states none
      * @param maxTokens its limit; 0 if it states none
@@ -45,7 +45,7 @@
     /**
      * Takes a new request into the mean of all.
      *
-     * @param stated what its client states
+     * @param stated what its caller states
      */
     public synchronized void observe(Stated stated) {
         if (stated.expectedTokens() > 0) {
@@ -58,7 +58,7 @@
     /**
      * Returns the median of the tokens that an output is expected to have.
      *
-     * @param stated what its client states
+     * @param stated what its caller states
      * @return tokens
      */
     public int expect(Stated stated) {
@@ -68,7 +68,7 @@
     /**
      * Returns the tokens of memory to reserve for a whole output.
      *
-     * @param stated what its client states
+     * @param stated what its caller states
      * @return tokens
      */
     public int reserve(Stated stated) {
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/RetryAfter.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/RetryAfter.java
@@ -9,11 +9,11 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Why a refused client gets this time to come back. Every refusal that has not run carries one.
+ * Why a refused caller gets this time to come back. Every refusal that has not run carries one.
  * Pure, but for the random source.
  */
 public final class RetryAfter {
-    /** The instance stops: the balancer already sends the client to another. Chosen. */
+    /** The instance stops: the balancer already sends the caller to another. Chosen. */
     public static final Duration INSTANCE_STOPS = Duration.ofMillis(50);
 
     /** No table is known yet: an instance that starts has one within a second. Chosen. */
