--- a/org.orchidmount.junit/src/main/java/org/orchidmount/junit/ChildProcess.java
+++ b/org.orchidmount.junit/src/main/java/org/orchidmount/junit/ChildProcess.java
@@ -28,7 +28,6 @@
     /** The system property that sets the compiler tier of child processes; 4 to measure. */
     public static final String TIER = "orchidmount.child.tier";
 
-    private static final long KIB = 1024;
     private static final int QUICK_START_TIER = 1;
     private static final long READY_SECONDS = 60;
 
@@ -200,23 +199,6 @@
         return mProcess.info().totalCpuDuration().orElse(Duration.ZERO);
     }
 
-    /**
-     * Returns the memory that the process holds in the machine's memory.
-     *
-     * @return bytes
-     */
-    public long residentBytes() {
-        try (var lines = Files.lines(Path.of("/proc", String.valueOf(mProcess.pid()), "status"))) {
-            return lines.filter(line -> line.startsWith("VmRSS:"))
-                            .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", "")))
-                            .findFirst()
-                            .orElse(0)
-                    * KIB;
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
-    }
-
     /**
      * Returns the process's id.
      *
