--- a/org.orchidmount/src/main/java/org/orchidmount/limits/AccountLimits.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/limits/AccountLimits.java
@@ -15,24 +15,25 @@
 import org.orchidmount.quota.SharedQuota;
 import org.orchidmount.routes.ClientAccount;
 
-/** Holds client accounts to what they may use over all instances. Thread-safe. */
+/** Enforces the limits of client accounts across all instances. Thread-safe. */
 public final class AccountLimits {
     /**
-     * The part of its target that a request may wait for an answer, twice at most; an answer takes
-     * a round trip of one or two milliseconds: such a wait does not make it late.
+     * Fraction of the latency target that a request may wait for an answer from the owner of a
+     * limit; it waits at most twice. An answer takes a round trip of one or two milliseconds, so
+     * the wait does not make the request late.
      */
     private static final double OWNER_WAIT_SHARE = 0.06;
 
-    /** For a request that no limit holds. */
+    /** Result for a request without a limit. */
     public static final Taken UNLIMITED = new Taken(Optional.empty(), QuotaAnswer.GRANTED);
 
     private final SharedQuota mQuota;
     private final QuotaTolerance mTolerance;
 
     /**
-     * What was taken for a request, or why nothing was. Immutable.
+     * Result of taking units from a limit. Immutable.
      *
-     * @param ask what was asked for; nothing if its account has no limit
+     * @param ask the units asked for; empty if the account has no limit
      * @param answer whether the request may run
      */
     public record Taken(Optional<QuotaAsk> ask, QuotaAnswer answer) {}
@@ -40,8 +41,8 @@
     /**
      * Creates the limits.
      *
-     * @param quota what all instances share
-     * @param tolerance by how much the site lets a window exceed a limit
+     * @param quota quota shared by all instances
+     * @param tolerance amount by which the site lets a window exceed a limit
      */
     public AccountLimits(SharedQuota quota, QuotaTolerance tolerance) {
         mQuota = quota;
@@ -49,13 +50,13 @@
     }
 
     /**
-     * Takes what a request uses.
+     * Takes the units of a request from the limit of its account.
      *
-     * @param account its account
-     * @param tableVersion the version of the table that states the limit
-     * @param statedTokens the tokens that the request states
-     * @param target the time within which an answer is of full use
-     * @return whether it may run
+     * @param account the request's account
+     * @param tableVersion version of the table that defines the limit
+     * @param statedTokens number of tokens stated by the request, if any
+     * @param target latency target of the request
+     * @return the result, which states whether the request may run
      * @throws InterruptedException if the thread is interrupted
      */
     public Taken take(
@@ -73,9 +74,9 @@
     }
 
     /**
-     * Gives back what a request took that has not run.
+     * Returns the units of a request that has not run.
      *
-     * @param taken what it took
+     * @param taken result of {@link #take} for the request
      */
     public void giveBack(Taken taken) {
         taken.ask().ifPresent(ask -> mQuota.giveBack(ask, taken.answer()));
--- a/org.orchidmount/src/main/java/org/orchidmount/limits/LimitBook.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/limits/LimitBook.java
@@ -16,9 +16,9 @@
 import org.orchidmount.table.AccountRow;
 
 /**
- * Counts what runs against the limits of accounts, classes, models and pools.
+ * Counts requests at this instance against the limits of accounts, classes, models and pools.
  *
- * <p>Invariant: a hold counts against all its limits or against none. Thread-safe.
+ * <p>Invariant: a request counts against all its limits or against none. Thread-safe.
  */
 public final class LimitBook {
     private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
@@ -28,12 +28,12 @@
     private final Map<String, Bucket> mBuckets = new HashMap<>();
 
     /**
-     * Takes one request from an account's rate at this instance. Up to one second's worth may come
-     * at once.
+     * Takes one request from an account's rate limit at this instance (token bucket). A burst of up
+     * to one second's worth of requests is allowed.
      *
      * @param account the account
-     * @param nowNanos the monotonic time
-     * @return 0 if the request may go on, else the milliseconds after which to come back
+     * @param nowNanos current monotonic time
+     * @return 0 if the request may proceed, otherwise the milliseconds after which to retry
      */
     public long takeRate(AccountRow account, long nowNanos) {
         if (account.requestsPerSecond() == 0) {
@@ -58,8 +58,8 @@
     /**
      * Counts a request against several limits at once.
      *
-     * @param limits the limits; those of 0 are not counted
-     * @return the first limit that is reached, or empty if the request now counts
+     * @param limits the limits; a maximum of 0 counts the request without limiting it
+     * @return the first limit that is reached, or empty if the request was counted
      */
     public Optional<Limit> tryHold(List<Limit> limits) {
         try (OrderedLock.Held _ = mLock.hold()) {
@@ -76,7 +76,7 @@
     }
 
     /**
-     * Ends the counting of a request.
+     * Stops counting a request.
      *
      * @param limits the limits given to {@link #tryHold}
      */
@@ -90,10 +90,10 @@
     }
 
     /**
-     * Returns how many requests count against a key.
+     * Returns the number of requests that count against a key.
      *
-     * @param key the key of a limit
-     * @return the number
+     * @param key key of a limit
+     * @return the number, 0 for an unknown key
      */
     public int running(String key) {
         try (OrderedLock.Held _ = mLock.hold()) {
@@ -102,9 +102,9 @@
     }
 
     /**
-     * Lists all keys that something counts against.
+     * Returns all keys that requests count against.
      *
-     * @return keys and numbers
+     * @return keys with their numbers of requests in place of the maximum
      */
     public List<Limit> all() {
         try (OrderedLock.Held _ = mLock.hold()) {
@@ -115,10 +115,10 @@
     }
 
     /**
-     * A limit on running requests. Immutable.
+     * A limit on concurrent requests. Immutable.
      *
      * @param key what is limited, for example "pool sm-decode"
-     * @param most the most requests at this instance, 0 for no limit
+     * @param most maximum number of requests at this instance, 0 for no limit
      */
     public record Limit(String key, int most) {}
 
--- a/org.orchidmount/src/main/java/org/orchidmount/limits/RetryBudget.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/limits/RetryBudget.java
@@ -6,24 +6,24 @@
 package org.orchidmount.limits;
 
 /**
- * Allows retries in proportion to requests, so that retries cannot multiply a failure. Thread-safe.
+ * Limits retries in proportion to requests, so that retries cannot amplify a failure. Thread-safe.
  *
- * <p>The two request paths are held to different limits. {@link TokenBucketRetryBudget} bounds the
- * retries of one instance against the table's upstreams, where a stock for one lost engine is what
- * matters. {@link WindowRetryBudget} keeps a limit that all instances share, and that is checked
- * over every window of time.
+ * <p>The two request paths have different limits. {@link TokenBucketRetryBudget} bounds the retries
+ * of one instance against the upstreams of the table, where the burst after the loss of one engine
+ * matters. {@link WindowRetryBudget} keeps a limit that is shared by all instances and that is
+ * checked over every time window.
  */
 public interface RetryBudget {
-    /** Counts a request, which earns a part of a retry. */
+    /** Records a request, which earns a fraction of a retry. */
     void countRequest();
 
     /**
      * Takes one retry.
      *
-     * @return false if the budget is spent
+     * @return false if the budget is exhausted
      */
     boolean tryTake();
 
-    /** Gives a retry back that was taken and not made, because no upstream had room for it. */
+    /** Returns a retry that was taken but not made, because no upstream had capacity for it. */
     void giveBack();
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/limits/TokenBucketRetryBudget.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/limits/TokenBucketRetryBudget.java
@@ -9,12 +9,12 @@
 import org.orchidmount.internal.lock.OrderedLock;
 
 /**
- * Retries that requests earn and that a stock bounds; for the upstreams of the table.
+ * Token bucket that requests refill and retries empty; for the upstreams of the table.
  *
- * <p>Invariant: the stock is never below 0 nor above its limit. Thread-safe.
+ * <p>Invariant: the number of tokens is never below 0 nor above the capacity. Thread-safe.
  */
 public final class TokenBucketRetryBudget implements RetryBudget {
-    /** The most retries in stock: those of one lost engine. */
+    /** Capacity of the bucket: the retries caused by the loss of one engine. */
     private static final double STOCK = 64;
 
     private static final double PERCENT = 100;
@@ -24,9 +24,9 @@
     private double mStock = STOCK;
 
     /**
-     * Creates a budget with its stock full.
+     * Creates a budget with a full bucket, or an empty one if no retries are allowed.
      *
-     * @param retryPercent the retries earned by 100 requests; 0 allows no retry
+     * @param retryPercent retries earned by 100 requests; 0 allows no retry
      */
     public TokenBucketRetryBudget(int retryPercent) {
         mEarned = retryPercent / PERCENT;
--- a/org.orchidmount/src/main/java/org/orchidmount/limits/WindowRetryBudget.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/limits/WindowRetryBudget.java
@@ -13,18 +13,22 @@
 import org.orchidmount.internal.lock.OrderedLock;
 
 /**
- * The retries to the upstreams of one service that this instance may add to what all add together.
+ * Limits the retries of this instance to its part of a limit on the upstreams of one service that
+ * all instances share.
  *
- * <p>Invariant: within any window, the retries stay below a share of the requests seen here plus
- * this instance's part of the slack of all. Thread-safe.
+ * <p>Invariant: within any window, the retries stay below a fraction of the requests seen here plus
+ * this instance's part of the shared slack. Thread-safe.
  */
 public final class WindowRetryBudget implements RetryBudget {
-    /** Buckets a window is counted in, and one more for the part of the oldest. */
+    /**
+     * Number of buckets of a window; one more is kept for the part of the oldest bucket that is
+     * still in the window.
+     */
     private static final int BUCKETS = 20;
 
     /**
-     * The share of the limit that is used. The rest is for windows that do not fit the buckets, and
-     * for instances that do not know yet how many share the slack.
+     * Fraction of the limit that is used. The rest is a margin for windows that are not aligned
+     * with the buckets, and for instances that do not know yet how many share the slack.
      */
     private static final double USED_SHARE = 0.75;
 
@@ -37,20 +41,20 @@
     private long mNewestBucket;
 
     /**
-     * The limit on the retries of all instances together.
+     * Limit on the retries of all instances together.
      *
-     * @param ratio retries for each request
-     * @param window the span over which is counted
-     * @param slack retries beyond the ratio in each span
+     * @param ratio retries allowed per request
+     * @param window length of the window
+     * @param slack retries allowed in each window in addition to the ratio
      */
     public record Limit(double ratio, Duration window, int slack) {}
 
     /**
-     * Creates a budget of which nothing is used.
+     * Creates an unused budget.
      *
-     * @param limit the limit of all instances
-     * @param instances how many instances share it now, at least 1
-     * @param clock the clock
+     * @param limit limit of all instances
+     * @param instances number of instances that share the limit now, at least 1
+     * @param clock monotonic clock
      */
     public WindowRetryBudget(Limit limit, IntSupplier instances, MonotonicClock clock) {
         mLimit = limit;
@@ -81,7 +85,7 @@
         }
     }
 
-    /** One that was taken in an earlier part of the window stays taken. */
+    /** {@inheritDoc} A retry that was taken in an earlier bucket is not returned. */
     @Override
     public void giveBack() {
         try (OrderedLock.Held _ = mLock.hold()) {
@@ -90,7 +94,7 @@
         }
     }
 
-    /** Clears what has left the window; returns the index of the present bucket. */
+    /** Clears the buckets that have left the window and returns the index of the current bucket. */
     private int advance() {
         long bucket = mClock.nanoTime() / (mLimit.window().toNanos() / BUCKETS);
         long stale = Math.min(bucket - mNewestBucket, BUCKETS + 1);
--- a/org.orchidmount/src/main/java/org/orchidmount/limits/package-info.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/limits/package-info.java
@@ -4,10 +4,10 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 /**
- * Limits on running requests, on rates and on retries.
+ * Limits on concurrent requests, rates and retries.
  *
- * <p>Owns the counts of this instance ({@code LimitBook}, the implementations of {@code
- * RetryBudget}); a restart forgets them. Limits of the table count at each instance for itself.
- * Relies on the clock and the table's rows.
+ * <p>The counts of this instance ({@code LimitBook} and the implementations of {@code RetryBudget})
+ * are kept in memory and are lost on a restart. Limits of the table apply to each instance
+ * separately. Depends on the clock and the rows of the table.
  */
 package org.orchidmount.limits;
--- a/org.orchidmount/src/main/java/org/orchidmount/load/EngineLoads.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/load/EngineLoads.java
@@ -23,35 +23,46 @@
 import org.orchidmount.routing.MemoryRule;
 
 /**
- * What this instance knows of the sequences in flight at engines, its own and those of the others.
+ * Tracks the sequences in flight at engines, both those placed by this instance and those announced
+ * by others.
  *
- * <p>It keeps the facts; {@link MemoryRule} decides by them. Invariants: a sequence counts until
- * its end is announced, its engine starts again, or nothing is received of it for a while; once it
- * has ended, an older announcement that took another way does not bring it back. Of an engine whose
- * start is known, announcements of an earlier start never count. One that states no start, as from
- * an instance that knows none, counts unless the engine has started again since the sequence was
- * first received. Thread-safe.
+ * <p>This class only keeps the data; {@link MemoryRule} makes the decisions. Invariants:
+ *
+ * <ul>
+ *   <li>A sequence counts until its end is announced, its engine registers a new incarnation, or no
+ *       announcement of it has arrived for {@link #FORGET_AFTER}.
+ *   <li>Once a sequence has ended, an older announcement that arrives late over another path does
+ *       not revive it.
+ *   <li>If the incarnation of an engine is known, announcements for earlier incarnations never
+ *       count. An announcement that states no incarnation, as from an instance that does not know
+ *       it, counts unless the engine has restarted since the sequence was first received.
+ * </ul>
+ *
+ * <p>Thread-safe.
  */
 public final class EngineLoads {
-    /** Three announcements missed: a sequence so silent has ended with its instance. */
+    /**
+     * Three missed announcements: the instance that announced the sequence is assumed to have
+     * stopped.
+     */
     private static final Duration FORGET_AFTER = Duration.ofSeconds(5);
 
-    /** Engines beyond which the starts of those without sequences are forgotten. */
+    /** Number of engines above which the incarnations of engines without sequences are dropped. */
     private static final int FORGET_STARTS_COUNT = 4_096;
 
     private final OrderedLock mLock = new OrderedLock(LockRank.LOADS);
     private final MonotonicClock mClock;
     private final Map<String, Map<String, Known>> mSequences = new HashMap<>();
 
-    /** The registered start of each engine that has stated one. */
+    /** Registered incarnation of each engine that has stated one, by engine id. */
     private final Map<String, Incarnation> mStarted = new HashMap<>();
 
     /**
-     * A sequence as it was last announced.
+     * The latest announcement of a sequence.
      *
      * @param sequence the sequence
-     * @param sinceNanos when it was first received
-     * @param updatedNanos when it was last received
+     * @param sinceNanos monotonic time of its first announcement
+     * @param updatedNanos monotonic time of its latest announcement
      */
     private record Known(InFlightSequence sequence, long sinceNanos, long updatedNanos) {
         boolean isWithoutStart() {
@@ -83,20 +94,23 @@
     }
 
     /**
-     * Creates an empty view.
+     * Creates a tracker without sequences.
      *
-     * @param clock the clock
+     * @param clock source of the times of announcements
      */
     public EngineLoads(MonotonicClock clock) {
         mClock = clock;
     }
 
     /**
-     * Takes which start of an engine is registered now. What was given to it before another start
-     * that was registered has ended. Announcements do not tell: they may be of a start that has
-     * been given up.
+     * Records the registered incarnation of an engine. Sequences placed on an earlier registered
+     * incarnation have ended.
+     *
+     * <p>Only registrations update the incarnation, never announcements, which may refer to an
+     * incarnation that no longer exists.
      *
-     * @param engine the engine
+     * @param engine the engine with its incarnation; one that states no incarnation clears the
+     *     recorded one
      */
     public void registered(Incarnation engine) {
         try (OrderedLock.Held _ = mLock.hold()) {
@@ -120,22 +134,29 @@
         atEngine.values().removeIf(old -> engine.provesEndOf(old.sequence().engine()));
     }
 
-    /** Those without a start may be announced again as such, so they are kept as ended. */
+    /**
+     * Marks the sequences without an incarnation as ended. They are kept, because later
+     * announcements of them may state no incarnation either and must not revive them.
+     */
     private void endUnstated(Incarnation engine) {
         Map<String, Known> atEngine = mSequences.getOrDefault(engine.id(), new HashMap<>());
         atEngine.replaceAll((id, old) -> old.isWithoutStart() ? old.asEnded() : old);
     }
 
-    /** Tells whether the engine of a sequence has started again since. */
+    /**
+     * Returns whether the engine has registered a newer incarnation than the one that the sequence
+     * was placed on.
+     */
     private boolean isOfEarlierStart(InFlightSequence sequence) {
         Incarnation registered = mStarted.get(sequence.upstreamId());
         return registered != null && registered.provesEndOf(sequence.engine());
     }
 
     /**
-     * Takes what was announced of a sequence.
+     * Applies an announcement of a sequence. Announcements for an earlier incarnation of the engine
+     * are ignored.
      *
-     * @param sequence the sequence
+     * @param sequence the announced state
      */
     public void update(InFlightSequence sequence) {
         try (OrderedLock.Held _ = mLock.hold()) {
@@ -153,12 +174,12 @@
     }
 
     /**
-     * Names the engines whose memory has no room for one more sequence.
+     * Returns the engines whose memory has no room for one more sequence.
      *
-     * @param candidate the sequence; its engine does not count
-     * @param memoryTokens the memory of each engine
-     * @param pace how fast the engines are
-     * @return their identities; an engine of which nothing is known is not among them
+     * @param candidate the sequence to place; its engine is ignored
+     * @param memoryTokens KV cache memory of each engine, in tokens
+     * @param pace measured speed of the engines
+     * @return ids of the full engines; an engine without known sequences is never included
      */
     public Set<String> saturatedEngines(
             InFlightSequence candidate, long memoryTokens, EnginePace pace) {
@@ -177,10 +198,10 @@
     }
 
     /**
-     * Returns how much an engine has yet to prefill.
+     * Returns the prefill backlog of an engine.
      *
-     * @param upstreamId its identity
-     * @return the tokens of all prompts that it was given and has not prefilled
+     * @param upstreamId the engine's id
+     * @return prompt tokens placed on the engine and not yet prefilled
      */
     public int prefillBacklogTokens(String upstreamId) {
         try (OrderedLock.Held _ = mLock.hold()) {
@@ -193,10 +214,10 @@
     }
 
     /**
-     * Estimates how much memory the sequences of an engine use now.
+     * Estimates the KV cache memory that the sequences of an engine use now.
      *
-     * @param upstreamId its identity
-     * @param pace how fast the engines are
+     * @param upstreamId the engine's id
+     * @param pace measured speed of the engines
      * @return tokens
      */
     public double usedMemoryTokens(String upstreamId, EnginePace pace) {
@@ -212,10 +233,10 @@
     }
 
     /**
-     * Names the sequences that an engine works on, for logs.
+     * Returns the sequences in flight at an engine, for logs.
      *
-     * @param upstreamId its identity
-     * @return the identities of their placements
+     * @param upstreamId the engine's id
+     * @return sequence ids, sorted
      */
     public List<String> sequencesAt(String upstreamId) {
         try (OrderedLock.Held _ = mLock.hold()) {
@@ -229,13 +250,14 @@
     }
 
     /**
-     * Tells whether a sequence that was just announced keeps its place, where several instances may
-     * have chosen the engine at the same moment.
+     * Returns whether a sequence keeps its placement. Several instances may have chosen the same
+     * engine at the same moment, so the placement is checked again once it has been announced.
      *
-     * @param sequence the sequence, which is known here
-     * @param memoryTokens the memory of the engine
-     * @param pace how fast the engines are
-     * @return false if it has to go elsewhere, also because the engine has started again
+     * @param sequence the announced sequence
+     * @param memoryTokens KV cache memory of the engine, in tokens
+     * @param pace measured speed of the engines
+     * @return false if the sequence must be placed on another engine, because it does not fit or
+     *     because the engine has restarted
      */
     public boolean keepsPlace(InFlightSequence sequence, long memoryTokens, EnginePace pace) {
         try (OrderedLock.Held _ = mLock.hold()) {
@@ -275,7 +297,7 @@
         return MemoryRule.fits(sequences, memoryTokens);
     }
 
-    /** Extrapolates what a sequence has generated since it was last announced. */
+    /** Extrapolates the number of generated tokens from the latest announcement. */
     private static double generatedTokens(Known known, EnginePace pace, long nowNanos) {
         double sinceMillis = Millis.ofNanos(nowNanos - known.updatedNanos());
         boolean begun = known.sequence().generatedTokens() > 0;
--- a/org.orchidmount/src/main/java/org/orchidmount/load/SequenceAnnouncer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/load/SequenceAnnouncer.java
@@ -7,29 +7,31 @@
 
 import java.util.function.IntSupplier;
 
-/** Announces to the other instances what this one gives to engines. Thread-safe. */
+/**
+ * Announces the sequences that this instance places on engines to the other instances. Thread-safe.
+ */
 public interface SequenceAnnouncer {
     /**
-     * Announces a sequence that begins to the instances that can be reached, and again from time to
-     * time until its end is announced. Returns at once.
+     * Announces a sequence to all reachable instances, and repeats the announcement periodically
+     * until {@link #end} is called. Does not block.
      *
-     * @param sequence the sequence
-     * @param generatedTokens the tokens generated so far; asked from another thread
+     * @param sequence the placed sequence
+     * @param generatedTokens supplier of the tokens generated so far; called from another thread
      */
     void begin(InFlightSequence sequence, IntSupplier generatedTokens);
 
     /**
-     * Announces that a sequence has ended. Returns at once.
+     * Announces that a sequence has ended. Does not block.
      *
      * @param sequence the sequence
      */
     void end(InFlightSequence sequence);
 
     /**
-     * Tells whether this instance has received announcements for long enough to know nearly all
+     * Returns whether this instance has received announcements for long enough to know nearly all
      * sequences in flight.
      *
-     * @return false after a start and while the other instances cannot be reached
+     * @return false shortly after a start and while the other instances cannot be reached
      */
     boolean isComplete();
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/load/package-info.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/load/package-info.java
@@ -4,10 +4,10 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 /**
- * The sequences in flight at model engines, shared by all instances.
+ * Sequences in flight at model engines, shared by all instances.
  *
- * <p>Owns what this instance knows of them ({@code EngineLoads}); nothing is kept on disk, and a
- * restarted instance knows nearly all again after 6 s. Relies on the cluster's links to carry the
- * announcements and on {@code routing} to decide by them.
+ * <p>{@code EngineLoads} holds the state in memory only; a restarted instance knows nearly all
+ * sequences again after 6 s. The cluster's links carry the announcements, and {@code routing} makes
+ * the decisions based on them.
  */
 package org.orchidmount.load;
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/AttemptRule.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/AttemptRule.java
@@ -8,38 +8,42 @@
 import java.time.Duration;
 
 /**
- * Why a request is tried again or not, and how long one attempt may stay silent. Pure.
+ * Decides whether a request is tried again, and how long one attempt may remain unanswered. Pure.
  *
- * <p>A request that must not run twice is tried again only while no attempt may have run it; one
- * that may is tried again until its route's limit of executions. Every attempt after one that
- * reached an upstream takes from the retry budget ({@code limits.RetryBudget}), so that retries
- * cannot multiply a failure; the driver asks the budget last, since asking takes.
+ * <p>A request that is not idempotent is tried again only while no attempt may have run it. An
+ * idempotent request is tried again up to the execution limit of its route. Every attempt after one
+ * that reached an upstream takes from the retry budget ({@code limits.RetryBudget}), so that
+ * retries cannot amplify a failure. The caller of this class asks the budget last, because asking
+ * takes from it.
  */
 public final class AttemptRule {
-    /** The most attempts, those included that ran nothing. */
+    /** Maximum number of attempts, including those that ran nothing. */
     private static final int MAX_ATTEMPTS = 4;
 
-    /** Times the target that an upstream may stay silent if another may be tried. */
+    /**
+     * Multiple of the latency target that an upstream may remain silent if another one may be
+     * tried.
+     */
     private static final double SILENCE_FACTOR = 1.3;
 
     private AttemptRule() {}
 
     /**
-     * What became of the attempts of a request so far. Immutable.
+     * Counts of the attempts of a request so far. Immutable.
      *
      * @param attempts all attempts
-     * @param reached those that reached an upstream
-     * @param executions those that may have run the request
+     * @param reached attempts that reached an upstream
+     * @param executions attempts that may have run the request
      */
     public record History(int attempts, int reached, int executions) {
-        /** Before the first attempt. */
+        /** History before the first attempt. */
         public static final History NONE = new History(0, 0, 0);
 
         /**
          * Adds an attempt.
          *
-         * @param outcome how it ended
-         * @return the history with it
+         * @param outcome how the attempt ended
+         * @return the updated history
          */
         public History after(AttemptOutcome outcome) {
             return new History(
@@ -50,20 +54,20 @@
     }
 
     /**
-     * What a route allows.
+     * Retry settings of a route.
      *
      * @param isIdempotent whether a request may run more than once
-     * @param maxExecutions how often it may run if so
+     * @param maxExecutions maximum number of executions of an idempotent request
      */
     public record Limits(boolean isIdempotent, int maxExecutions) {}
 
     /**
-     * Tells whether a request may be tried, the retry budget aside.
+     * Returns whether a request may be tried, apart from the retry budget.
      *
      * @param history the attempts so far
-     * @param limits what its route allows
-     * @param left the time until it must have its final answer
-     * @return false if it is to be given up
+     * @param limits retry settings of the route
+     * @param left time until the deadline of the request
+     * @return false if the request must be given up
      */
     public static boolean mayTry(History history, Limits limits, Duration left) {
         boolean mayRun =
@@ -73,23 +77,23 @@
     }
 
     /**
-     * Tells whether the next attempt takes from the retry budget.
+     * Returns whether the next attempt takes from the retry budget.
      *
      * @param history the attempts so far
-     * @return false while no upstream was reached
+     * @return false while no upstream has been reached
      */
     public static boolean takesFromBudget(History history) {
         return history.reached() > 0;
     }
 
     /**
-     * Returns how long the next attempt may stay silent before it counts as failed.
+     * Returns how long the next attempt may remain unanswered before it counts as failed.
      *
      * @param history the attempts so far
-     * @param limits what the route allows
-     * @param target the time within which an answer is of full use
-     * @param left the time until the request must have its final answer
-     * @return all that is left, or less if the request may then be tried elsewhere
+     * @param limits retry settings of the route
+     * @param target latency target of the request
+     * @param left time until the deadline of the request
+     * @return {@code left}, or less if the request may then be tried elsewhere
      */
     public static Duration silenceLimit(
             History history, Limits limits, Duration target, Duration left) {
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/Candidate.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/Candidate.java
@@ -6,9 +6,9 @@
 package org.orchidmount.routing;
 
 /**
- * An upstream that could take the request.
+ * An upstream that may be chosen for the request.
  *
- * @param upstream the upstream
- * @param cachedTokens the prompt tokens it is expected to hold in its prefix cache, as a hint
+ * @param upstream state of the upstream
+ * @param cachedTokens prompt tokens that its prefix cache is expected to hold; may be wrong
  */
 public record Candidate(UpstreamView upstream, int cachedTokens) {}
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/CircuitBreaker.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/CircuitBreaker.java
@@ -8,22 +8,23 @@
 import java.time.Duration;
 
 /**
- * Ejects an upstream of the table after three failures in a row; used by the blackboard.
+ * Ejection of an upstream of the table after three consecutive failures; used by the blackboard.
  *
- * <p>After the ejection the circuit is half open: one more failure ejects again, a success closes
- * the circuit. Immutable.
+ * <p>After the ejection the circuit is half open: one more failure ejects again, and a success
+ * closes the circuit. Immutable.
  *
- * @param consecutiveFailures the failures since the last success
- * @param openedNanos when the latest failure opened the circuit; meaningless below the threshold
+ * @param consecutiveFailures failures since the last success
+ * @param openedNanos monotonic time at which the latest failure opened the circuit; meaningless
+ *     below the threshold
  */
 public record CircuitBreaker(int consecutiveFailures, long openedNanos) implements OutlierEjection {
-    /** A closed circuit. */
+    /** State of a closed circuit without failures. */
     public static final CircuitBreaker CLOSED = new CircuitBreaker(0, 0);
 
-    /** Failures in a row that open the circuit: one failure proves little. */
+    /** Consecutive failures that open the circuit; a single failure is weak evidence. */
     private static final int FAILURES_TO_OPEN = 3;
 
-    /** How long the circuit stays open: eight polls of an engine's report. */
+    /** Time for which the circuit stays open: eight polling intervals of engine reports. */
     private static final Duration OPEN = Duration.ofSeconds(2);
 
     @Override
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/ClientRetryDetector.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/ClientRetryDetector.java
@@ -13,38 +13,45 @@
 import org.orchidmount.clock.MonotonicClock;
 
 /**
- * Tells client retries from new requests.
+ * Distinguishes client retries from new requests.
  *
- * <p>Callers state how long they still wait. Those of one route wait about equally long at first,
- * some longer and some less; one that states clearly less than any new request would has been
- * refused before. How much the waits of new requests spread is seen above their median, where no
- * retry is, and is taken to be alike below it in proportion. With waits that spread by 15 in 100, a
- * rule that compares with the longest wait takes nearly all new requests for retries in the end,
- * this one at most 6 in 100 (5,000 requests, ClientRetryDetectorTest). Thread-safe.
+ * <p>Each request states the remaining timeout of its caller. The initial timeouts of the callers
+ * of one route are similar but vary; a request whose timeout is clearly shorter than that of any
+ * new request has been refused before. The variation of initial timeouts is measured above their
+ * median, where there are no retries, and is assumed to be proportionally the same below. With
+ * timeouts that vary by 15 in 100, a rule that compares with the longest timeout eventually takes
+ * nearly all new requests for retries, whereas this rule does so for at most 6 in 100 (5,000
+ * requests, ClientRetryDetectorTest). Thread-safe.
  */
 public final class ClientRetryDetector {
     /**
-     * The share of the shortest wait of new requests below which a request is a retry: the time to
-     * come back is at least 3 s of the sites' 14 s.
+     * Fraction of the shortest initial timeout below which a request is a retry. The retry-after
+     * time is at least 3 s of the sites' 14 s.
      */
     private static final double FIRST_TRY_SHARE = 0.93;
 
-    /** Waits of new requests that are remembered of a route. */
+    /** Number of initial timeouts remembered for each route. */
     private static final int SAMPLES = 64;
 
-    /** The quantile that stands for the longest waits, a few in a hundred aside. */
+    /** Quantile taken as the longest initial timeout; leaves out outliers. */
     private static final double LONG_QUANTILE = 0.95;
 
     /**
-     * How long a stated wait counts: far longer than a caller waits, so that one caller with a long
-     * wait does not make retries of all later ones.
+     * Retention of an initial timeout. It is far longer than any caller's timeout, and it keeps one
+     * caller with a long timeout from turning all later requests into retries.
      */
     private static final Duration WINDOW = Duration.ofMinutes(10);
 
-    /** So many retries without a new request among them mean that callers wait less now. */
+    /**
+     * Number of consecutive retries after which callers are assumed to have shortened their initial
+     * timeout.
+     */
     private static final int RETRIES_IN_A_ROW = 64;
 
-    /** Bounds the memory; the map is emptied beyond. Far more routes than a table has. */
+    /**
+     * Maximum number of routes remembered, far more than a table has; the map is emptied beyond, to
+     * bound its memory.
+     */
     private static final int MAX_ROUTES = 10_000;
 
     private final Map<String, Waits> mWaits = new ConcurrentHashMap<>();
@@ -52,7 +59,7 @@
 
     private record Sample(long waitNanos, long atNanos) {}
 
-    /** The waits of new requests of one route, those that came last at the end. */
+    /** Recent initial timeouts of one route, oldest first. */
     private static final class Waits {
         private final Deque<Sample> mSamples = new ArrayDeque<>();
         private int mRetriesInARow;
@@ -82,7 +89,7 @@
             return mSamples.size() >= SAMPLES || nowNanos - sample.atNanos() >= WINDOW.toNanos();
         }
 
-        /** Returns the wait below which new requests are rare; 0 before any was seen. */
+        /** Returns the timeout below which new requests are rare; 0 before the first request. */
         private double shortestNanos() {
             if (mSamples.isEmpty()) {
                 return 0;
@@ -95,20 +102,20 @@
     }
 
     /**
-     * Creates a detector that knows no request.
+     * Creates a detector without history.
      *
-     * @param clock the clock
+     * @param clock source of the times of requests
      */
     public ClientRetryDetector(MonotonicClock clock) {
         mClock = clock;
     }
 
     /**
-     * Takes a request into account.
+     * Records a request and returns whether it is a client retry.
      *
-     * @param route its route's name
-     * @param wait how long its caller still waits
-     * @return true if it is a retry
+     * @param route name of the request's route
+     * @param wait remaining timeout of the caller
+     * @return true if the request is a retry
      */
     public boolean isRetry(String route, Duration wait) {
         if (mWaits.size() > MAX_ROUTES) {
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/DecisionInput.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/DecisionInput.java
@@ -8,14 +8,14 @@
 import java.util.List;
 
 /**
- * All that a decision depends on, besides its random source. Immutable.
+ * Complete input of a decision, apart from the random source. Immutable.
  *
  * @param request the request
- * @param prefill the engines of the model's prefill pool
- * @param decode the engines of the model's decode pool
- * @param zone the availability zone of this instance
- * @param turn counts the decisions of this instance
- * @param nowNanos the monotonic time
+ * @param prefill engines of the model's prefill pool
+ * @param decode engines of the model's decode pool
+ * @param zone availability zone of this instance
+ * @param turn number of the decision at this instance, for round-robin
+ * @param nowNanos current monotonic time
  */
 public record DecisionInput(
         RequestInfo request,
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/EnginePace.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/EnginePace.java
@@ -6,15 +6,14 @@
 package org.orchidmount.routing;
 
 /**
- * How fast the engines of one service have shown themselves to be, as every rule about engines
- * takes it. Immutable.
+ * Measured speed of the engines of one service, as used by every rule about engines. Immutable.
  *
- * @param prefillMillisPerToken what a prefill engine takes for each token of its queue
- * @param decodePrefillMillisPerToken the same for a decode engine, which prefills between the
- *     tokens of its outputs
- * @param outputTokensPerMilli tokens that one output grows by in a millisecond
- * @param firstTokenMillis from the choice of a decode engine to the first token
- * @param outputMillis from the first token of an output to its last
+ * @param prefillMillisPerToken time that a prefill engine takes for each token of its queue
+ * @param decodePrefillMillisPerToken the same for a decode engine, which interleaves prefill with
+ *     token generation
+ * @param outputTokensPerMilli tokens generated per millisecond for one output
+ * @param firstTokenMillis time from the choice of a decode engine to the first token
+ * @param outputMillis time from the first token of an output to its last
  */
 public record EnginePace(
         double prefillMillisPerToken,
@@ -22,13 +21,15 @@
         double outputTokensPerMilli,
         double firstTokenMillis,
         double outputMillis) {
-    /** Share of the time to the first token that a request counts as work besides its prompt. */
+    /**
+     * Fraction of the time to first token that a request counts as work in addition to its prompt.
+     */
     private static final double FIRST_TOKEN_WORK_SHARE = 0.25;
 
     /**
-     * Returns the time a prefill engine of ordinary speed needs.
+     * Returns the time that a prefill engine of nominal speed takes for a prompt.
      *
-     * @param promptTokens the tokens to prefill
+     * @param promptTokens tokens to prefill
      * @return milliseconds
      */
     public double prefillEngineMillis(int promptTokens) {
@@ -36,9 +37,9 @@
     }
 
     /**
-     * Returns the time a decode engine of ordinary speed needs to prefill.
+     * Returns the time that a decode engine of nominal speed takes to prefill a prompt.
      *
-     * @param promptTokens the tokens to prefill
+     * @param promptTokens tokens to prefill
      * @return milliseconds
      */
     public double decodeEngineMillis(int promptTokens) {
@@ -46,9 +47,9 @@
     }
 
     /**
-     * Returns the work that a whole request is counted as at a decode engine.
+     * Returns the work that a whole request counts as on a decode engine.
      *
-     * @param promptTokens the tokens of the prompt
+     * @param promptTokens length of the prompt
      * @return milliseconds
      */
     public double requestMillis(int promptTokens) {
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/EnginePaceEstimator.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/EnginePaceEstimator.java
@@ -6,31 +6,39 @@
 package org.orchidmount.routing;
 
 /**
- * Learns the {@link EnginePace} of one service from what passes through this instance.
+ * Estimates the {@link EnginePace} of one service from the requests that pass through this
+ * instance.
  *
- * <p>It starts from a prior that counts as one observation; some 15 observations are remembered.
- * The figures are means over all engines of the service: a few slow ones hardly move them, and show
- * in {@link Slowness} instead. A prefill takes longer than it should where others queue whose
- * announcements are not known here, and never less, so that a slow one counts for less.
- * Thread-safe.
+ * <p>The estimate starts from a prior that counts as one observation; some 15 observations are
+ * remembered. The values are means over all engines of the service. A few slow engines hardly
+ * change them and are reflected in {@link Slowness} instead. Sequences queued on an engine whose
+ * announcements are not known here make a prefill appear slower than it is, but never faster, so
+ * slow prefills are given less weight. Thread-safe.
  */
 public final class EnginePaceEstimator {
-    /** Milliseconds for a token of a prompt before any was seen: 50 tokens a ms. */
+    /** Prior for the prefill time per prompt token, in milliseconds: 50 tokens per ms. */
     private static final double PRIOR_PREFILL_MILLIS_PER_TOKEN = 0.02;
 
-    /** A decode engine prefills at half the pace until seen: the engines' protocol says so. */
+    /**
+     * Ratio of the prefill time of a decode engine to that of a prefill engine, used until a
+     * prefill on a decode engine has been observed. The protocol of the engines states half the
+     * speed.
+     */
     private static final double DECODE_PREFILL_FACTOR = 2;
 
-    /** Tokens that an output grows by in a ms before any was seen: 4,000 in 3 s. */
+    /** Prior for the tokens generated per millisecond for one output: 4,000 in 3 s. */
     private static final double PRIOR_TOKENS_PER_MILLI = 1.3;
 
-    /** Milliseconds to the first token before any was seen: a prompt of 5,000 and half more. */
+    /**
+     * Prior for the time to first token, in milliseconds: the prefill of 5,000 tokens and half as
+     * much again.
+     */
     private static final double PRIOR_FIRST_TOKEN_MILLIS = 150;
 
-    /** Milliseconds that an output lasts before any was seen: 4,000 tokens. */
+    /** Prior for the duration of an output, in milliseconds: 4,000 tokens. */
     private static final double PRIOR_OUTPUT_MILLIS = 3_000;
 
-    /** Weight of a prefill that took longer than the mean against one that took less. */
+    /** Weight of a prefill slower than the mean, relative to one that is faster. */
     private static final double LONGER_PREFILL_WEIGHT = 0.4;
 
     private final LogMean mPrefillMillisPerToken =
@@ -45,9 +53,9 @@
     private volatile EnginePace mPace = learned();
 
     /**
-     * Returns what is known now.
+     * Returns the current estimate.
      *
-     * @return the pace
+     * @return the estimated speed; the prior before the first observation
      */
     public EnginePace pace() {
         return mPace;
@@ -68,39 +76,39 @@
     }
 
     /**
-     * Learns from a prompt that a prefill engine has prefilled.
+     * Records a prefill by a prefill engine.
      *
-     * @param queueTokens its tokens and those that the engine had to prefill before
-     * @param tookMillis the time it took
+     * @param queueTokens tokens of the prompt and of the prefills queued before it
+     * @param tookMillis time taken, including the wait in the queue
      */
     public synchronized void observePrefill(int queueTokens, double tookMillis) {
         observe(mPrefillMillisPerToken, tookMillis, queueTokens);
     }
 
     /**
-     * Learns from a prompt that a decode engine has prefilled itself.
+     * Records a prefill by a decode engine.
      *
-     * @param queueTokens its tokens and those that the engine had to prefill before
-     * @param tookMillis the time to its first token
+     * @param queueTokens tokens of the prompt and of the prefills queued before it
+     * @param tookMillis time to the first token
      */
     public synchronized void observeDecodePrefill(int queueTokens, double tookMillis) {
         observe(mDecodePrefillMillisPerToken, tookMillis, queueTokens);
     }
 
     /**
-     * Learns from the first token of an output.
+     * Records the first token of an output.
      *
-     * @param tookMillis the time since its engine was chosen
+     * @param tookMillis time since the decode engine was chosen
      */
     public synchronized void observeFirstToken(double tookMillis) {
         observe(mFirstTokenMillis, tookMillis, 1);
     }
 
     /**
-     * Learns from a whole output.
+     * Records a complete output.
      *
-     * @param tokens the tokens after the first
-     * @param tookMillis the time between its first token and its last
+     * @param tokens number of tokens after the first
+     * @param tookMillis time from the first token to the last
      */
     public synchronized void observeOutput(double tokens, double tookMillis) {
         observe(mOutputTokensPerMilli, tokens, tookMillis);
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/EngineStagePlan.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/EngineStagePlan.java
@@ -16,31 +16,33 @@
 import org.orchidmount.membership.Registration.State;
 
 /**
- * Why an engine changes its stage: prefill engines are kept at a set share of the engines of each
- * service. Pure and immutable.
+ * Decides when an engine changes its stage, to keep prefill engines at a configured share of the
+ * engines of each service. Pure and immutable.
  *
- * <p>An engine that fell silent without leaving is counted for a while as if it were there, since
- * it is mostly back within seconds, while a change takes another engine from its work for longer.
- * One that leaves is not. The share is a setting. At least one engine stays in each stage; where
- * there are six engines or more two prefill engines are left, so that the loss of one leaves
- * another. An engine is changed to prefill only if nearly a whole one is missing, or there is none.
+ * <p>An engine whose heartbeats stop without a deregistration is still counted for a while: it
+ * usually returns within seconds, whereas a stage change keeps another engine from work for longer.
+ * An engine that deregisters is not counted. At least one engine stays in each stage. From six
+ * engines on, at least two are prefill engines, so that one remains if the other is lost. An engine
+ * is changed to prefill only if nearly a whole prefill engine is missing, or if there is none.
  */
 public final class EngineStagePlan {
-    /** Fewer engines than this are left as they are. */
+    /** Minimum number of engines for a stage change; with fewer, all stages are left unchanged. */
     private static final int MIN_ENGINES = 3;
 
-    /** From this number on there is a spare prefill engine. */
+    /** Minimum number of engines at which there is a spare prefill engine. */
     private static final int ENGINES_FOR_SPARE = 6;
 
     /**
-     * Added before the target is rounded down, so that a share which is nearly whole counts: decode
-     * engines run out first (rounds 731ee506, ed94a39e and fb7eaf3e in docs/ROUNDS.md).
+     * Added to the target before it is rounded down, so that a fractional part of at least 0.75 is
+     * rounded up. Other fractions are rounded down in favour of decode engines, which run out
+     * first.
      */
     private static final double ROUNDING = 0.25;
 
     /**
-     * Prefill engines above or below the share that are worth a change, which costs an engine for
-     * some 10 s: with less than about a whole one the share after it is as far off the other way.
+     * Minimum deviation from the target share, in engines, that justifies a change. A change keeps
+     * an engine from work for some 10 s, and for a deviation of less than about one engine the
+     * share would be as far off in the other direction afterwards.
      */
     private static final double MIN_OFF = 0.95;
 
@@ -49,14 +51,14 @@
     /**
      * Creates a plan.
      *
-     * @param prefillShare the share of prefill engines
+     * @param prefillShare target share of prefill engines, from 0 to 1
      */
     public EngineStagePlan(double prefillShare) {
         mPrefillShare = prefillShare;
     }
 
     /**
-     * A change of one engine.
+     * A change of the stage of one engine.
      *
      * @param engine the engine
      * @param stage its new stage
@@ -64,11 +66,12 @@
     public record Change(Registration engine, Stage stage) {}
 
     /**
-     * Decides.
+     * Returns the next stage change that is due.
      *
-     * @param current the upstreams whose heartbeats are recent
-     * @param silent those that have lately stopped to send any and are expected back
-     * @return the next change, if one is due
+     * @param current upstreams with recent heartbeats
+     * @param silent upstreams whose heartbeats have stopped recently and that are expected to
+     *     return
+     * @return the change, or empty if none is due
      */
     public Optional<Change> next(List<Registration> current, List<Registration> silent) {
         return current.stream()
@@ -110,7 +113,10 @@
                 .map(engine -> new Change(engine, to));
     }
 
-    /** Adds the silent ones, unless a stage has no other engine or their addresses are in use. */
+    /**
+     * Returns the current engines with the silent ones added. Silent engines are left out if a
+     * stage has no current engine, or if a current engine uses their address.
+     */
     private static List<Registration> counted(
             List<Registration> current, List<Registration> silent) {
         if (count(current, Stage.PREFILL) == 0 || count(current, Stage.DECODE) == 0) {
@@ -135,7 +141,10 @@
         return Math.clamp(share, least, Math.max(1, engines - 1));
     }
 
-    /** Prefers availability zones that have few engines of the new stage. */
+    /**
+     * Returns a rank that is highest in the availability zone with the fewest engines of the new
+     * stage.
+     */
     private static long fewInZone(List<Registration> engines, Registration engine, Stage stage) {
         return -engines.stream()
                 .filter(other -> other.zone().equals(engine.zone()) && other.stage() == stage)
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/FailureBackoff.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/FailureBackoff.java
@@ -8,27 +8,29 @@
 import java.time.Duration;
 
 /**
- * Ejects an upstream that registers itself, for a time that doubles with each failure in a row;
- * used by the relay.
+ * Ejection of an upstream that registers itself, for a time that doubles with each consecutive
+ * failure; used by the relay.
  *
- * <p>An ejected upstream is still taken where no other takes work. Immutable.
+ * <p>An ejected upstream is still chosen if no other accepts work. Immutable.
  *
- * @param consecutiveFailures the failures since the last success
- * @param isBackingOff false until an ejection begins, and after a success
- * @param untilNanos when the ejection ends
+ * @param consecutiveFailures failures since the last success
+ * @param isBackingOff whether an ejection has begun since the last success
+ * @param untilNanos monotonic time at which the ejection ends
  */
 public record FailureBackoff(int consecutiveFailures, boolean isBackingOff, long untilNanos)
         implements OutlierEjection {
     /** The state of an upstream that has not failed. */
     public static final FailureBackoff NONE = new FailureBackoff(0, false, 0);
 
-    /** Failures in a row that eject: a single one may be the caller's. */
+    /** Consecutive failures that cause an ejection: a single failure may be the caller's fault. */
     private static final int FAILURES_TO_EJECT = 2;
 
-    /** The first ejection: some requests' time, so that little is lost. */
+    /**
+     * Duration of the first ejection: the time of a few requests, so that little capacity is lost.
+     */
     private static final Duration FIRST = Duration.ofMillis(150);
 
-    /** The most doublings, so that an upstream is tried every 4.8 s. */
+    /** Maximum number of doublings, so that a failing upstream is tried every 4.8 s. */
     private static final int MAX_DOUBLINGS = 5;
 
     @Override
@@ -44,11 +46,11 @@
     }
 
     /**
-     * Counts a connection that could not be made. The upstream is most likely gone, so it is
-     * ejected at once, as after a third failure.
+     * Records a failed connection attempt. The upstream is most likely gone, so it is ejected at
+     * once, as after a third failure.
      *
-     * @param nowNanos the present time
-     * @return the state after it
+     * @param nowNanos current monotonic time
+     * @return the updated state
      */
     public FailureBackoff afterUnreachable(long nowNanos) {
         int failures = Math.max(consecutiveFailures, FAILURES_TO_EJECT);
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/FailurePenalty.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/FailurePenalty.java
@@ -8,22 +8,26 @@
 import java.time.Duration;
 
 /**
- * What recent failures of an upstream add to the time expected of it. Immutable.
+ * Time added to the expected completion time of an upstream because of its recent failures.
+ * Immutable.
  *
- * @param share the smoothed share of calls that failed, at {@code atNanos}
- * @param atNanos the monotonic time of the latest failure
+ * @param share smoothed fraction of failed calls, as of {@code atNanos}
+ * @param atNanos monotonic time of the latest failure
  */
 public record FailurePenalty(double share, long atNanos) {
     /** The state of an upstream that has not failed. */
     public static final FailurePenalty NONE = new FailurePenalty(0, 0);
 
-    /** Smoothing factor: how much one call counts. */
+    /** Smoothing factor: the weight of one call. */
     private static final double SMOOTHING = 0.15;
 
-    /** Milliseconds added if all calls fail; a quarter to a half of the sites' targets. */
+    /** Milliseconds added if all calls fail; a quarter to a half of the sites' latency targets. */
     private static final double MILLIS_IF_ALL_FAIL = 600;
 
-    /** Without decay an upstream that failed once would not be tried again (commit 8d5349a). */
+    /**
+     * Half-life of the failure share. Without decay, an upstream that failed once would not be
+     * tried again.
+     */
     private static final Duration HALF_LIFE = Duration.ofSeconds(3);
 
     FailurePenalty afterFailure(long nowNanos) {
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/FinalOutcome.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/FinalOutcome.java
@@ -5,23 +5,23 @@
  */
 package org.orchidmount.routing;
 
-/** What a caller learns of a request that no upstream has answered. */
+/** Outcome reported to the caller of a request that no upstream has answered. */
 public enum FinalOutcome {
-    /** It has not run and will not; the caller may come back. */
+    /** The request has not run and will not run; the caller may retry. */
     NOT_RUN,
-    /** It may have run. */
+    /** The request may have run. */
     MAY_HAVE_RUN,
-    /** Its time is over, and it may have run. */
+    /** The deadline has passed, and the request may have run. */
     TIMED_OUT,
-    /** Upstreams crash when they run it, so it is not run any more; coming back is no use. */
+    /** Upstreams crash when they run the request, so it is no longer run; a retry is useless. */
     QUARANTINED;
 
     /**
-     * Decides for a request that is given up.
+     * Returns the outcome of a request that is given up.
      *
-     * @param history its attempts
-     * @param isOverdue whether its time is over
-     * @return the outcome; "not run" only if that holds for every attempt
+     * @param history the attempts so far
+     * @param isOverdue whether the deadline has passed
+     * @return the outcome; {@link #NOT_RUN} only if no attempt may have run the request
      */
     public static FinalOutcome of(AttemptRule.History history, boolean isOverdue) {
         if (history.executions() == 0) {
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/JointPolicy.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/JointPolicy.java
@@ -10,28 +10,31 @@
 import org.orchidmount.clock.Millis;
 
 /**
- * The product's policy: chooses decode engine, link and prefill engine together.
+ * The default policy: chooses the decode engine, its link and the prefill engine together.
  *
- * <p>A request is placed only if a decode engine has a slot and memory for it, because the result
- * of a prefill whose decode has no place is thrown away within seconds. Among the places it takes
- * the pair with the earliest predicted first token: the prefill engine's backlog and the uncached
- * part of the prompt at its measured rate, then the transfer behind what the decode engine's link
- * has still to carry. Of decode engines it prefers the emptier ones. A request whose first token
- * would come too late is refused at once. Stateless and thread-safe.
+ * <p>A request is placed only if a decode engine has a free slot and enough memory, because an
+ * engine discards the result of a prefill within seconds if no decode follows. Among the possible
+ * placements, the policy takes the pair with the earliest predicted first token. The prediction
+ * adds the prefill engine's backlog and the uncached part of the prompt, at the engine's measured
+ * rate, and the transfer of the KV cache behind the pending transfers on the decode engine's link.
+ * Emptier decode engines are preferred. A request whose first token would be late is refused
+ * immediately. Stateless and thread-safe.
  */
 public final class JointPolicy implements Policy {
-    /** The policy's name. */
+    /** Name of the policy in settings and reports. */
     public static final String NAME = "orchidmount";
 
     private static final double MILLIS_PER_SECOND = 1e3;
 
-    /** What a full decode engine costs against an empty one, in milliseconds. */
+    /** Cost of a full decode engine relative to an empty one, in milliseconds. */
     private static final double FULLNESS_MILLIS = 200;
 
-    /** What another availability zone costs, in milliseconds. */
+    /** Cost of another availability zone, in milliseconds. */
     private static final double OTHER_ZONE_MILLIS = 2;
 
-    /** Scores closer than this count as equal; then a random one is taken. */
+    /**
+     * Costs that differ by no more than this count as equal; one of them is then chosen at random.
+     */
     private static final double TIE_MILLIS = 0.5;
 
     @Override
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/LeastLoadPolicy.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/LeastLoadPolicy.java
@@ -11,11 +11,11 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A baseline: takes the engine with the least load that it reported itself. Stateless and
- * thread-safe.
+ * Baseline policy: chooses the engine with the least load by the engines' own reports. Stateless
+ * and thread-safe.
  */
 public final class LeastLoadPolicy implements Policy {
-    /** The policy's name. */
+    /** Name of the policy in settings and reports. */
     public static final String NAME = "least-load";
 
     @Override
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/LogMean.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/LogMean.java
@@ -6,20 +6,26 @@
 package org.orchidmount.routing;
 
 /**
- * A running mean of positive figures by their logarithm, so that half and double weigh alike. Not
- * thread-safe.
+ * Running mean of the logarithms of positive values, so that half the mean and twice the mean have
+ * the same weight. Not thread-safe.
  */
 final class LogMean {
-    /** Weight of an observation once many were made: some 15 of them are remembered. */
+    /** Weight of an observation after the first few; some 15 observations are remembered. */
     private static final double SMOOTHING = 0.07;
 
-    /** Observations among which even a large step is believed, since the prior may be far off. */
+    /**
+     * Number of initial observations that may change the mean by a large step, since the prior may
+     * be far off.
+     */
     private static final int EARLY_OBSERVATIONS = 5;
 
-    /** The most that an early observation counts as, either way: four times or a quarter. */
+    /** Largest step of an early observation: a factor of four up or down. */
     private static final double MAX_EARLY_STEP = Math.log(4);
 
-    /** The most that a later one counts as: an outlier is as much as a double. */
+    /**
+     * Largest step of a later observation: an outlier counts as no more than twice or half the
+     * mean.
+     */
     private static final double MAX_STEP = Math.log(2);
 
     private final double mRiseWeight;
@@ -29,9 +35,9 @@
     /**
      * Creates a mean.
      *
-     * @param prior counts as one observation
-     * @param riseWeight how much a figure above the mean weighs against one below it, once the
-     *     first few have been seen
+     * @param prior initial value, which counts as one observation
+     * @param riseWeight weight of a value above the mean relative to one below it, after the first
+     *     few observations
      */
     LogMean(double prior, double riseWeight) {
         mLog = Math.log(prior);
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/MemoryForecast.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/MemoryForecast.java
@@ -8,44 +8,48 @@
 import java.util.List;
 
 /**
- * Forecasts the most memory that the sequences of one decode engine will take together. Pure.
+ * Forecasts the peak memory of all sequences of one decode engine together. Pure.
  *
- * <p>A sequence's memory grows with each token until it ends, and its length is known only roughly:
- * its logarithm is taken as normal around the expected one, cut at the maximum. Sequences end at
- * different moments, so the peak of the sum is well below the sum of the peaks. With few sequences
- * the margin would exceed all that they can take, so that a prompt of more than about half of an
- * engine's memory would find no room on an empty engine; the sum of all of them bounds it.
+ * <p>The memory of a sequence grows with each token until the sequence ends. Output length is
+ * modelled as log-normal around the expected length, truncated at the maximum. Sequences end at
+ * different times, so the peak of the sum is well below the sum of the peaks. With few sequences,
+ * the safety margin alone would exceed all the memory that they can use, and a prompt of more than
+ * about half of an engine's memory would not fit into an empty engine; the forecast is therefore
+ * capped at the sum of all sequences.
  */
 public final class MemoryForecast {
-    /** Deviation of the logarithm of an output's length from the estimate: 0.38 (d3944360). */
+    /**
+     * Standard deviation of the logarithm of the output length around its estimate; 0.38 in
+     * recorded traffic.
+     */
     private static final double LENGTH_DEVIATION = 0.4;
 
-    /** Standard deviations above the mean that must fit: 1.3 preempted 37 a day (62022e93). */
+    /** Standard deviations above the mean that must fit; 1.3 led to 37 preemptions a day. */
     private static final double MARGIN_DEVIATIONS = 2.2;
 
     /**
-     * Moments at which the sum is looked at, as shares of the time that an output of mean length
-     * takes; the last is beyond nearly all outputs.
+     * Points in time at which the sum is evaluated, as fractions of the time that an output of mean
+     * length takes; the last one lies beyond nearly all outputs.
      */
     private static final double[] HORIZON_SHARES = {
         0, 0.08, 0.16, 0.25, 0.36, 0.5, 0.7, 0.9, 1.2, 1.6
     };
 
-    /** The logistic function with this slope is within 0.01 of the normal distribution. */
+    /** Slope at which the logistic function is within 0.01 of the normal distribution function. */
     private static final double LOGISTIC_SLOPE = 1.702;
 
-    /** Probability that a sequence beyond its maximum goes on a moment longer. */
+    /** Probability that a sequence beyond its maximum length continues. */
     private static final double OVERDUE_SURVIVAL = 0.5;
 
     private MemoryForecast() {}
 
     /**
-     * A sequence at the present moment.
+     * State of a sequence at the time of the forecast.
      *
-     * @param promptTokens the tokens of its prompt
-     * @param generatedTokens the tokens generated so far
-     * @param expectedTokens the median of its output's length
-     * @param maxOutputTokens the most that its output's length can be
+     * @param promptTokens length of the prompt
+     * @param generatedTokens tokens generated so far
+     * @param expectedTokens median of the predicted output length
+     * @param maxOutputTokens upper limit of the output length
      */
     public record Sequence(
             double promptTokens,
@@ -54,10 +58,10 @@
             double maxOutputTokens) {}
 
     /**
-     * Returns the most memory that the sequences are likely to take at one moment from now on. All
-     * grow alike, so it does not matter how fast.
+     * Returns the likely peak memory of the sequences from now on. All sequences are assumed to
+     * generate tokens at the same rate, so the rate itself does not matter.
      *
-     * @param sequences the sequences
+     * @param sequences the sequences of one engine
      * @return tokens
      */
     public static double peakTokens(List<Sequence> sequences) {
@@ -86,7 +90,7 @@
         return Math.min(most, mean + MARGIN_DEVIATIONS * Math.sqrt(variance));
     }
 
-    /** The probability that a sequence still goes on when it would have that many output tokens. */
+    /** Returns the probability that a sequence reaches the given number of output tokens. */
     private static double survival(Sequence sequence, double tokens) {
         if (tokens <= sequence.generatedTokens()) {
             return 1;
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/MemoryRule.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/MemoryRule.java
@@ -9,68 +9,75 @@
 import java.util.List;
 
 /**
- * Why a decode engine has room for a request or not: the forecast of its memory decides, not its
- * number of sequences. Pure.
+ * Decides whether a decode engine has room for a request, by the forecast of its memory rather than
+ * by its number of sequences. Pure.
  *
- * <p>Several instances may choose the same engine at the same moment. So a placement is checked
- * again once all instances have received it; of placements that happened together, those with the
- * lower identities stay, and every instance decides alike.
+ * <p>Several instances may choose the same engine at the same moment. A placement is therefore
+ * checked again once all instances have received its announcement. Of concurrent placements, those
+ * with the lower ids stay, so that every instance reaches the same decision.
  */
 public final class MemoryRule {
-    /** The share of an engine's memory that is planned with; blocks waste the rest. */
+    /**
+     * Fraction of an engine's memory that is planned for; the rest is lost to partly filled blocks.
+     */
     private static final double USABLE_SHARE = 0.97;
 
     /**
-     * Percent of the memory that client retries may fill (trunk reservation). A retry is late
-     * already. Where there is not enough room for all, each that is served takes the room of a new
-     * request that could be in time, and just as many callers are refused twice; where there is, it
-     * is served all the same: room for two to four requests on the users' sites.
+     * Percent of the memory that client retries may fill; the rest is reserved for new requests
+     * (trunk reservation). A retry is already late. Under overload, each retry that is served takes
+     * the room of a new request that could still be on time, and the number of callers that are
+     * refused twice stays the same. Without overload, retries are served anyway. The reserved part
+     * holds two to four requests on the users' sites.
      */
     private static final int CLIENT_RETRY_PERCENT = 85;
 
     /**
-     * Percent of the memory below which a placement is not checked again: several at one moment do
-     * no harm there.
+     * Percent of the memory below which a placement is not checked again, because concurrent
+     * placements cannot exhaust the memory there.
      */
     private static final int ROOMY_PERCENT = 50;
 
-    /** Longer than an announcement takes to all instances: some 30 ms on the sites. */
+    /**
+     * Window within which placements count as concurrent: longer than an announcement takes to
+     * reach all instances, which is some 30 ms on the sites.
+     */
     private static final Duration TOGETHER = Duration.ofMillis(80);
 
-    /** Output tokens reserved where the sequences of all instances are known. */
+    /** Output tokens reserved initially if the sequences of all instances are known. */
     private static final int FIRST_OUTPUT_TOKENS = 256;
 
     private MemoryRule() {}
 
     /**
-     * Tells whether sequences fit into an engine.
+     * Returns whether sequences fit into the memory of an engine.
      *
-     * @param sequences all of them, a candidate included
-     * @param memoryTokens the memory of the engine
-     * @return true if the forecast stays within its usable memory
+     * @param sequences all sequences of the engine, including the candidate
+     * @param memoryTokens KV cache memory of the engine, in tokens
+     * @return true if the forecast stays within the usable memory
      */
     public static boolean fits(List<MemoryForecast.Sequence> sequences, double memoryTokens) {
         return MemoryForecast.peakTokens(sequences) <= USABLE_SHARE * memoryTokens;
     }
 
     /**
-     * Tells whether a request can ever be placed: whether it fits into an engine that is empty.
+     * Returns whether a request fits into an empty engine.
      *
-     * @param request the request, as it begins
-     * @param memoryTokens the memory of the engine
-     * @return false if waiting is of no use
+     * @param request the request before its first output token
+     * @param memoryTokens KV cache memory of the engine, in tokens
+     * @return false if the request can never be placed, so that waiting is useless
      */
     public static boolean canEverFit(MemoryForecast.Sequence request, double memoryTokens) {
         return fits(List.of(request), memoryTokens);
     }
 
     /**
-     * Returns the memory of an engine that a request may help to fill. A client retry that would
-     * not fit into its part of an empty engine may fill all of it, or it would be refused for ever.
+     * Returns how much of an engine's memory may be in use once a request is placed on it. A client
+     * retry that does not fit into its part of an empty engine may use all of the memory; otherwise
+     * it would always be refused.
      *
-     * @param request the request, as it begins
-     * @param isClientRetry whether its caller was refused before
-     * @param memoryTokens the memory of the engine
+     * @param request the request before its first output token
+     * @param isClientRetry whether the caller was refused before
+     * @param memoryTokens KV cache memory of the engine, in tokens
      * @return tokens
      */
     public static long availableTokens(
@@ -80,9 +87,9 @@
     }
 
     /**
-     * Returns the memory within which a placement needs no second check.
+     * Returns the memory usage up to which a placement needs no second check.
      *
-     * @param memoryTokens the memory of the engine
+     * @param memoryTokens KV cache memory of the engine, in tokens
      * @return tokens
      */
     public static long roomyTokens(long memoryTokens) {
@@ -90,13 +97,13 @@
     }
 
     /**
-     * Returns the memory to reserve at an engine: where the sequences of all instances are known,
-     * enough to begin, since a reservation keeps memory from others that is not used yet; else all
-     * that the output is likely to take (rounds 60f8c82e, 1aa7b9ae and bee067e3).
+     * Returns the memory to reserve on an engine for a request. If the sequences of all instances
+     * are known, only enough to begin is reserved, because a reservation withholds memory that is
+     * not used yet. Otherwise the whole likely output is reserved.
      *
-     * @param promptTokens the tokens of the prompt
-     * @param maxOutputTokens the most tokens of the output
-     * @param likelyOutputTokens what the output is likely to take at most
+     * @param promptTokens length of the prompt
+     * @param maxOutputTokens upper limit of output tokens
+     * @param likelyOutputTokens output tokens that are unlikely to be exceeded
      * @param areAllKnown whether nearly all sequences in flight are known here
      * @return tokens
      */
@@ -108,13 +115,13 @@
     }
 
     /**
-     * Tells which of two placements at an engine stays if both do not fit.
+     * Returns whether another placement on the same engine takes precedence if both do not fit.
      *
-     * @param otherNanos when the other was first announced here
-     * @param otherId its identity
-     * @param ownNanos when the placement in question was first announced here
-     * @param ownId its identity
-     * @return true if the other stays
+     * @param otherNanos monotonic time at which the other placement was first announced here
+     * @param otherId id of the other placement
+     * @param ownNanos monotonic time at which the placement in question was first announced here
+     * @param ownId id of the placement in question
+     * @return true if the other placement stays
      */
     public static boolean hasPrecedence(
             long otherNanos, String otherId, long ownNanos, String ownId) {
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/MemoryWaitRule.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/MemoryWaitRule.java
@@ -8,46 +8,47 @@
 import java.time.Duration;
 
 /**
- * Why a request waits for memory at a decode engine, and for how long before it is refused. Pure.
+ * Decides how long a request waits for memory on a decode engine before it is refused. Pure.
  *
- * <p>A new request is refused early enough that its caller's retry is still in time. A client retry
- * is not refused again while there is hope: being refused twice costs the caller its answer.
+ * <p>A new request is refused early enough for the caller's retry to be on time. A client retry
+ * waits as long as it can still be served, because callers give up after a second refusal.
  */
 public final class MemoryWaitRule {
     /**
-     * Percent of the target that a client retry waits. It is late already, so that a wait costs its
-     * caller little and a second refusal all: callers give up at four times the target.
+     * Percent of the latency target that a client retry waits. The retry is already late, so
+     * waiting costs its caller little, while a second refusal costs the answer: callers give up at
+     * four times the target.
      */
     private static final int CLIENT_RETRY_PERCENT = 200;
 
-    /** Share of the target that a request of mean size waits. */
+    /** Fraction of the latency target that a request of mean size waits. */
     private static final double MEAN_SHARE = 0.17;
 
-    /** Bounds of the share, however small or large the request. */
+    /** Lower bound of the fraction, however small the request. */
     private static final double MIN_SHARE = 0.1;
 
-    /** The largest share of the target. */
+    /** Upper bound of the fraction, however large the request. */
     private static final double MAX_SHARE = 0.6;
 
     private MemoryWaitRule() {}
 
     /**
-     * Returns how long a client retry waits.
+     * Returns the maximum wait of a client retry.
      *
-     * @param target the time to the first token that is of full use
-     * @return the longest wait
+     * @param target latency target for the first token
+     * @return the maximum wait
      */
     public static Duration forClientRetry(Duration target) {
         return target.multipliedBy(CLIENT_RETRY_PERCENT).dividedBy(100);
     }
 
     /**
-     * Returns how long a new request waits. A small one finds room among others sooner than a large
-     * one, so a large one is given more time (rounds 1b99dcb2 and d93b6265 in docs/ROUNDS.md).
+     * Returns the maximum wait of a new request. A small request finds room sooner than a large
+     * one, so a large one is given more time.
      *
-     * @param relativeSize the memory it needs by the mean of all requests
-     * @param target the time to the first token that is of full use
-     * @return the longest wait
+     * @param relativeSize memory that the request needs, relative to the mean of all requests
+     * @param target latency target for the first token
+     * @return the maximum wait
      */
     public static Duration forNewRequest(double relativeSize, Duration target) {
         double share = Math.clamp(MEAN_SHARE * relativeSize * relativeSize, MIN_SHARE, MAX_SHARE);
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/OutputLengthEstimator.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/OutputLengthEstimator.java
@@ -6,46 +6,46 @@
 package org.orchidmount.routing;
 
 /**
- * Estimates how many tokens outputs have, from what callers expect, and how large requests are
- * against the mean.
+ * Estimates the output length of a request from the caller's own estimate, and the size of a
+ * request relative to the mean.
  *
- * <p>Callers' estimates are right at the median but spread widely (deviation of the logarithm
- * 0.38), so an estimate is drawn towards the mean of all. Thread-safe.
+ * <p>Callers' estimates are unbiased at the median but vary widely (standard deviation of the
+ * logarithm 0.38), so each estimate is drawn towards the mean of all. Thread-safe.
  */
 public final class OutputLengthEstimator {
-    /** Weight of the caller's own estimate against the mean of all. */
+    /** Weight of the caller's own estimate relative to the mean of all. */
     private static final double OWN_WEIGHT = 0.65;
 
     /**
-     * Reserved by the estimate. A preempted sequence is prefilled anew, and all other streams of
-     * its engine pause meanwhile (rounds ec71cb6c and ce783d86 in docs/ROUNDS.md).
+     * Ratio of the reserved output tokens to the estimate. Too small a reserve leads to preemption:
+     * a preempted sequence is prefilled again, which pauses all other streams of its engine.
      */
     private static final double RESERVE_FACTOR = 1.7;
 
-    /** Smoothing factor of both means: some 30 requests. */
+    /** Smoothing factor of both means, which average over some 30 requests. */
     private static final double SMOOTHING = 0.03;
 
-    /** Tokens assumed before any caller has stated an estimate. */
+    /** Output length assumed before any caller has stated an estimate. */
     private static final double UNKNOWN_TOKENS = 1_000;
 
-    /** The least tokens estimated, unless the caller's limit is lower. */
+    /** Lower bound of the estimate, unless the caller's limit is lower. */
     private static final int MIN_TOKENS = 64;
 
     private double mLogMean;
     private double mMeanRequestTokens;
 
     /**
-     * What a caller states of the output it wants.
+     * Output length as stated by the caller.
      *
-     * @param expectedTokens its estimate; 0 if it states none
-     * @param maxTokens its limit; 0 if it states none
+     * @param expectedTokens the caller's estimate; 0 if it states none
+     * @param maxTokens the caller's limit; 0 if it states none
      */
     public record Stated(int expectedTokens, int maxTokens) {}
 
     /**
-     * Takes a new request into the mean of all.
+     * Adds the stated estimate of a new request to the mean; ignored if there is none.
      *
-     * @param stated what its caller states
+     * @param stated what the caller states
      */
     public synchronized void observe(Stated stated) {
         if (stated.expectedTokens() > 0) {
@@ -56,9 +56,9 @@
     }
 
     /**
-     * Returns the median of the tokens that an output is expected to have.
+     * Returns the median of the predicted output length.
      *
-     * @param stated what its caller states
+     * @param stated what the caller states
      * @return tokens
      */
     public int expect(Stated stated) {
@@ -66,9 +66,9 @@
     }
 
     /**
-     * Returns the tokens of memory to reserve for a whole output.
+     * Returns the output tokens for which to reserve memory.
      *
-     * @param stated what its caller states
+     * @param stated what the caller states
      * @return tokens
      */
     public int reserve(Stated stated) {
@@ -76,10 +76,11 @@
     }
 
     /**
-     * Compares a request with the mean of all, and takes it into that mean.
+     * Returns the size of a request relative to the mean of all, after adding the request to that
+     * mean.
      *
-     * @param requestTokens the tokens of its prompt and of the expected output
-     * @return its size by the mean
+     * @param requestTokens tokens of the prompt and of the expected output
+     * @return ratio of the request's size to the mean
      */
     public synchronized double relativeSize(int requestTokens) {
         mMeanRequestTokens =
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/Policies.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/Policies.java
@@ -7,20 +7,21 @@
 
 import java.util.List;
 
-/** The policies by name. Stateless and thread-safe. */
+/** Registry of policies by name. Stateless and thread-safe. */
 public final class Policies {
-    /** All names, the default first. */
+    /** Names of all policies, the default first. */
     public static final List<String> NAMES =
             List.of(JointPolicy.NAME, RoundRobinPolicy.NAME, LeastLoadPolicy.NAME);
 
     private Policies() {}
 
     /**
-     * Finds a policy.
+     * Returns the policy with the given name.
      *
-     * @param name its name
+     * @param name name of the policy
      * @return the policy
-     * @throws IllegalArgumentException if there is none; the message lists the names
+     * @throws IllegalArgumentException if no policy has this name; the message lists the valid
+     *     names
      */
     public static Policy byName(String name) {
         return switch (name) {
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/Policy.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/Policy.java
@@ -11,11 +11,11 @@
  * Decides where a request runs.
  *
  * <p>Implementations are pure: they hold no state, do no I/O and read no clock, so that a decision
- * can be tested, replayed and measured alone. Thread-safe.
+ * can be tested, replayed and measured in isolation. Thread-safe.
  */
 public interface Policy {
     /**
-     * Returns the policy's name in settings and reports.
+     * Returns the name of the policy in settings and reports.
      *
      * @return the name
      */
@@ -24,8 +24,8 @@
     /**
      * Decides on one request.
      *
-     * @param input what is known
-     * @param random breaks ties
+     * @param input state on which the decision is based
+     * @param random random source for breaking ties
      * @return the decision
      */
     Decision decide(DecisionInput input, RandomGenerator random);
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/PrefillRule.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/PrefillRule.java
@@ -8,54 +8,61 @@
 import java.util.OptionalDouble;
 
 /**
- * Why a prompt is prefilled here: by a prefill engine (split, also called disaggregated), or by the
- * decode engine that generates the output (unsplit, co-located). Pure.
+ * Decides where a prompt is prefilled: by a prefill engine (split, also called disaggregated), or
+ * by the decode engine that generates the output (unsplit, also called co-located). Pure.
  *
- * <p>A decode engine prefills at half the pace, and between the tokens of others, whose streams
- * then pause. So it prefills only while no prefill engine can be had, or where those are busy and
- * the decode engine is nearly idle. Always prefilling at decode engines was tried and lost (round
- * a8ce7c27 in docs/ROUNDS.md). How long a prefill takes is learned ({@link EnginePace}).
+ * <p>A decode engine prefills at half the speed of a prefill engine, and it interleaves the prefill
+ * with token generation, so that its other streams pause. It therefore prefills only if no prefill
+ * engine is available, or if the prefill engines are busy and the decode engine is nearly idle.
+ * Always prefilling on decode engines gave worse results in trials. Prefill times are estimated
+ * from observations ({@link EnginePace}).
  */
 public final class PrefillRule {
-    /** Share of the target beyond which an idle decode engine is better. */
+    /** Fraction of the latency target above which an idle decode engine is preferred. */
     private static final double BUSY_SHARE = 0.6;
 
-    /** Share of the target beyond which the first token would come too late. */
+    /** Fraction of the latency target above which the first token would be late. */
     private static final double LATE_SHARE = 0.85;
 
     /**
-     * Times the prefill itself that it may take before the prefill engines count as busy: a prompt
-     * that no queue delays would come no sooner by waiting, however slow they are.
+     * Ratio of the expected completion time to the time of the prefill itself above which the
+     * prefill engines count as busy. A prompt that is not delayed by a queue gains nothing by
+     * waiting, however slow the engines are.
      */
     private static final double QUEUED_FACTOR = 2;
 
-    /** Share of its memory below which a decode engine has few streams to hold up. */
+    /**
+     * Fraction of its memory below which a decode engine has few streams that a prefill would
+     * delay.
+     */
     private static final double IDLE_MEMORY_SHARE = 0.8;
 
-    /** Share of the longest harmless pause that a prefill may take; leaves room. */
+    /**
+     * Fraction of the longest harmless pause that a prefill may take; the rest is a safety margin.
+     */
     private static final double PAUSE_SHARE = 0.8;
 
     private PrefillRule() {}
 
     /** Where a prompt is prefilled. */
     public enum Choice {
-        /** At a prefill engine. */
+        /** On a prefill engine. */
         SPLIT,
-        /** At the decode engine, however busy that is. */
+        /** On the decode engine, however busy it is. */
         UNSPLIT,
-        /** At a nearly idle decode engine if there is one, else at a prefill engine. */
+        /** On a nearly idle decode engine if there is one, otherwise on a prefill engine. */
         UNSPLIT_IF_IDLE_ELSE_SPLIT,
-        /** At a nearly idle decode engine; without one the request waits. */
+        /** On a nearly idle decode engine; without one, the request waits. */
         UNSPLIT_IF_IDLE
     }
 
     /**
-     * Chooses by the load of the prefill engines.
+     * Chooses where to prefill, by the load of the prefill engines.
      *
-     * @param prefillMillis when the best prefill engine is expected to be done; empty if none takes
-     *     work
-     * @param ownMillis how long a prefill engine takes for this prompt alone
-     * @param targetMillis the time to the first token that is of full use
+     * @param prefillMillis expected completion time on the best prefill engine; empty if none
+     *     accepts work
+     * @param ownMillis time that a prefill engine takes for this prompt without a queue
+     * @param targetMillis latency target for the first token
      * @return the choice
      */
     public static Choice choose(
@@ -75,14 +82,14 @@
     }
 
     /**
-     * Tells whether a decode engine may prefill while the prefill engines are busy: it holds up few
-     * streams, and those not for too long.
+     * Returns whether a decode engine may prefill while the prefill engines are busy. It may if it
+     * delays few streams, and those only briefly.
      *
-     * @param prefillMillis how long the engine takes to prefill the prompt
-     * @param memoryShare the share of the engine's memory in use
-     * @param backlogTokens the tokens that it has yet to prefill
-     * @param longestPauseMillis the longest pause of a stream that does no harm
-     * @return true if it may
+     * @param prefillMillis time that the engine takes to prefill the prompt
+     * @param memoryShare fraction of the engine's memory in use
+     * @param backlogTokens tokens that the engine has yet to prefill
+     * @param longestPauseMillis longest pause of a stream that does no harm
+     * @return true if the engine may prefill
      */
     public static boolean isNearlyIdle(
             double prefillMillis,
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/PrefillTimeoutRule.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/PrefillTimeoutRule.java
@@ -9,26 +9,28 @@
 import org.orchidmount.clock.Millis;
 
 /**
- * Why a silent prefill engine is given up: it has taken much longer than its backlog explains.
- * Another prefill engine is then asked (rounds 139244b5, a3f45374 and 62aed083 in docs/ROUNDS.md).
- * Pure.
+ * Decides when to give up on a prefill engine that does not answer: once it has taken much longer
+ * than its backlog explains. Another prefill engine is then tried. Pure.
  */
 public final class PrefillTimeoutRule {
-    /** Times the expected time that an engine may stay silent. */
+    /** Factor by which an engine may exceed its expected time. */
     private static final double SILENCE_FACTOR = 2;
 
-    /** Share of the target added for short prompts and for pauses of the engine. */
+    /**
+     * Fraction of the latency target added to allow for short prompts and for pauses of the engine.
+     */
     private static final double MARGIN_SHARE = 0.45;
 
     private PrefillTimeoutRule() {}
 
     /**
-     * Returns how long a prefill engine may stay silent.
+     * Returns the time after which a prefill engine that has not answered is given up.
      *
-     * @param ordinaryMillis when an engine of ordinary speed would be done, backlog included
-     * @param target the time to the first token that is of full use
-     * @param left the time until the request must have its final answer
-     * @return the longest silence, at most {@code left}
+     * @param ordinaryMillis time in which an engine of nominal speed would finish, including its
+     *     backlog
+     * @param target latency target for the first token
+     * @param left time until the deadline of the request
+     * @return the timeout, at most {@code left}
      */
     public static Duration silenceLimit(double ordinaryMillis, Duration target, Duration left) {
         long nanos = (long) Millis.toNanos(SILENCE_FACTOR * ordinaryMillis);
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/PromptBlocks.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/PromptBlocks.java
@@ -12,30 +12,30 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A prompt cut into blocks whose chained hashes name its prefixes.
+ * A prompt divided into blocks whose chained hashes identify its prefixes.
  *
  * <p>The hash of a block covers all blocks before it, so two prompts that share the first n hashes
- * share the first n blocks. Engines name the blocks of their prefix caches in the same way.
+ * share the first n blocks. Engines identify the blocks of their prefix caches in the same way.
  * Immutable: the array must not be changed.
  *
- * @param tokens the estimated length of the prompt
- * @param hashes the chained hash of each full block
+ * @param tokens estimated length of the prompt, at least 1
+ * @param hashes chained hash of each full block
  */
 public record PromptBlocks(int tokens, long[] hashes) {
-    /** The bytes taken for one token when a prompt's length is estimated. */
+    /** Bytes per token assumed when the length of a prompt is estimated. */
     public static final int BYTES_PER_TOKEN = 4;
 
-    /** The tokens in one block. */
+    /** Tokens in one block. */
     public static final int BLOCK_TOKENS = 64;
 
     private static final int BLOCK_BYTES = BLOCK_TOKENS * BYTES_PER_TOKEN;
     private static final HashFunction HASH = Hashing.murmur3_128();
 
     /**
-     * Cuts a prompt into blocks.
+     * Divides a prompt into blocks.
      *
-     * @param prompt the prompt
-     * @return its length and block hashes
+     * @param prompt text of the prompt
+     * @return estimated length and block hashes; a last block that is not full has no hash
      */
     public static PromptBlocks of(String prompt) {
         byte[] bytes = prompt.getBytes(StandardCharsets.UTF_8);
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/RefusalBackoff.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/RefusalBackoff.java
@@ -8,33 +8,35 @@
 import java.time.Duration;
 
 /**
- * How long an upstream that refuses work is left alone. A refusal is no failure: most often a place
- * is free again soon. But an engine that changes its stage refuses for many seconds, and each try
- * there costs a request an attempt and maybe a prefill. So the time doubles with each refusal that
- * follows the time before. Immutable.
+ * Back-off from an upstream that refuses work. A refusal is not a failure: most often a slot
+ * becomes free soon. But an engine that changes its stage refuses for many seconds, and each
+ * attempt there costs a request one of its attempts and possibly a prefill. The back-off time
+ * therefore doubles with each refusal after the previous back-off. Immutable.
  *
- * @param inARow refusals, each after the time of the one before, since the last success
- * @param isBackingOff false until the first refusal, and after a success
- * @param untilNanos the monotonic time until which the latest refusal counts
+ * @param inARow consecutive refusals since the last success, each after the back-off of the one
+ *     before
+ * @param isBackingOff whether there was a refusal since the last success
+ * @param untilNanos monotonic time at which the back-off ends
  */
 public record RefusalBackoff(int inARow, boolean isBackingOff, long untilNanos) {
-    /** The state of an upstream that has refused nothing. */
+    /** State of an upstream that has refused nothing. */
     public static final RefusalBackoff NONE = new RefusalBackoff(0, false, 0);
 
-    /** After one refusal: some requests' time, in which a place becomes free. */
+    /** First back-off: the time of a few requests, in which a slot becomes free. */
     private static final Duration FIRST = Duration.ofMillis(60);
 
-    /** Refusals in a row that one counts as which a lack of room cannot explain. */
+    /** Number of consecutive refusals assumed before one that a lack of memory cannot explain. */
     private static final int REFUSALS_DESPITE_ROOM = 2;
 
-    /** The most doublings, so that an upstream is tried every 1.92 s. */
+    /** Maximum number of doublings, so that a refusing upstream is tried every 1.92 s. */
     private static final int MAX_DOUBLINGS = 5;
 
     /**
-     * Counts a refusal. Those of requests that were sent together count once.
+     * Records a refusal. Refusals during a back-off do not extend it, so that requests sent at the
+     * same time count once.
      *
-     * @param nowNanos the present time
-     * @return the state after it
+     * @param nowNanos current monotonic time
+     * @return the updated state
      */
     public RefusalBackoff afterRefusal(long nowNanos) {
         if (isRefusing(nowNanos)) {
@@ -45,11 +47,11 @@
     }
 
     /**
-     * Counts a refusal by an upstream that had just reserved memory for the request, so that a lack
-     * of room cannot be the reason: it counts as the third in a row.
+     * Records a refusal by an upstream that had just reserved memory for the request. A lack of
+     * memory cannot be the reason, so the refusal counts as at least the third in a row.
      *
-     * @param nowNanos the present time
-     * @return the state after it
+     * @param nowNanos current monotonic time
+     * @return the updated state
      */
     public RefusalBackoff afterRefusalDespiteRoom(long nowNanos) {
         boolean isFirst = inARow < REFUSALS_DESPITE_ROOM;
@@ -60,21 +62,21 @@
     }
 
     /**
-     * Tells whether the upstream has refused again after it had been left alone, so that more than
-     * a lack of room for a moment must be the reason.
+     * Returns whether the upstream has refused again after a back-off, so that the reason must be
+     * more than a momentary lack of capacity.
      *
-     * @param nowNanos the present time
-     * @return true if nothing is to be given to it now
+     * @param nowNanos current monotonic time
+     * @return true if the upstream must receive no work now
      */
     public boolean isPersistent(long nowNanos) {
         return inARow > 1 && isRefusing(nowNanos);
     }
 
     /**
-     * Tells whether a recent refusal counts.
+     * Returns whether the upstream is in a back-off after a refusal.
      *
-     * @param nowNanos the present time
-     * @return true if work is better given to others
+     * @param nowNanos current monotonic time
+     * @return true if other upstreams are preferable
      */
     public boolean isRefusing(long nowNanos) {
         return isBackingOff && nowNanos - untilNanos < 0;
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/RequestInfo.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/RequestInfo.java
@@ -6,17 +6,17 @@
 package org.orchidmount.routing;
 
 /**
- * What a decision needs to know of a request. Immutable.
+ * Properties of a request on which a decision depends. Immutable.
  *
  * @param id the request's id
- * @param model the model's name
- * @param promptTokens the estimated length of the prompt
- * @param maxOutputTokens the longest answer asked for
- * @param kvBytes the KV cache that prompt and answer take together
- * @param promptKvBytes the KV cache of the prompt, which is transferred between the pools
- * @param maxFirstTokenMillis the latest useful first token, counted from the arrival; 0 for no
+ * @param model name of the model
+ * @param promptTokens estimated length of the prompt
+ * @param maxOutputTokens maximum length of the output
+ * @param kvBytes KV cache size of prompt and output together
+ * @param promptKvBytes KV cache size of the prompt, which is transferred between the pools
+ * @param maxFirstTokenMillis latency bound for the first token, counted from the arrival; 0 for no
  *     bound
- * @param arrivedNanos when the request arrived, in monotonic time
+ * @param arrivedNanos monotonic time of arrival
  */
 public record RequestInfo(
         String id,
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/RetryAfter.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/RetryAfter.java
@@ -10,61 +10,67 @@
 import org.orchidmount.clock.Millis;
 
 /**
- * Why a refused caller gets this time to come back. Every refusal that has not run carries one.
- * Pure, but for the random source.
+ * Decides after which time a refused caller should retry. Every refusal of a request that has not
+ * run carries such a time. Pure, apart from the random source.
  */
 public final class RetryAfter {
-    /** The instance stops: the balancer already sends the caller to another. */
+    /**
+     * For an instance that is stopping: the load balancer already sends the caller to another one.
+     */
     public static final Duration INSTANCE_STOPS = Duration.ofMillis(50);
 
-    /** No table is known yet: an instance that starts has one within a second. */
+    /** For an instance without a table: an instance receives one within a second of its start. */
     public static final Duration NO_TABLE = Duration.ofMillis(500);
 
-    /** Milliseconds; every refusal of a request to the table's upstreams. */
+    /** For every refusal of a request to the upstreams of the table, in milliseconds. */
     public static final long TABLE_MILLIS = 1_000;
 
-    /** Upstreams of a plain service refused: they have room again after some requests. */
+    /**
+     * For a request that the upstreams of a plain service refused: they have capacity again after a
+     * few requests.
+     */
     private static final Duration PLAIN_SERVICE = Duration.ofMillis(200);
 
-    /** Times an output's ordinary time after which most of those that run now have ended. */
+    /** Multiple of the mean output duration after which most outputs in progress have ended. */
     private static final double MOST_ENDED_FACTOR = 1.2;
 
     /**
-     * Share of an output's time over which the times are spread at random, so that those refused
-     * together do not come back together.
+     * Fraction of the mean output duration over which retries are spread at random, so that callers
+     * refused at the same time do not return at the same time.
      */
     private static final double SPREAD_SHARE = 0.7;
 
     /**
-     * Share of the time to come back over which refusals by a limit are spread beyond it, so that
-     * those refused together do not come back together, and none before there is room.
+     * Fraction of the time until a limit has room over which retries are spread beyond that time,
+     * so that callers refused at the same time do not return at the same time, and none returns too
+     * early.
      */
     private static final double LIMIT_SPREAD_SHARE = 0.25;
 
     /**
-     * No owner of a limit could be asked: there is another after an election, which begins 0.7 to
-     * 1.4 s after the last one's word, or after a start of the voters. One that comes back sooner
-     * is mostly refused for good.
+     * For a request whose limit has no reachable owner: a new owner is elected after an election,
+     * which begins 0.7 to 1.4 s after the last message of the previous owner or after a start of
+     * the voters. A caller that returns earlier is mostly refused for good.
      */
     private static final Duration NO_LIMIT_OWNER = Duration.ofMillis(1_400);
 
     private RetryAfter() {}
 
     /**
-     * Returns the time for a request that found no place at a plain service.
+     * Returns the retry time for a request that no upstream of a plain service accepted.
      *
-     * @return when to come back
+     * @return time after which the caller should retry
      */
     public static Duration plainService() {
         return PLAIN_SERVICE;
     }
 
     /**
-     * Returns the time for a request whose account has used up its limit.
+     * Returns the retry time for a request whose account has used up its limit.
      *
-     * @param untilRoom when the limit is expected to have room for it
-     * @param random spreads the times
-     * @return when to come back, not before that
+     * @param untilRoom time until the limit is expected to have room for the request
+     * @param random random source for spreading retries
+     * @return time after which the caller should retry, at least {@code untilRoom}
      */
     public static Duration limit(Duration untilRoom, RandomGenerator random) {
         double share = 1 + LIMIT_SPREAD_SHARE * random.nextDouble();
@@ -72,10 +78,10 @@
     }
 
     /**
-     * Returns the time for a request whose account's limit nobody could tell.
+     * Returns the retry time for a request whose account's limit could not be checked.
      *
-     * @param random spreads the times
-     * @return when to come back
+     * @param random random source for spreading retries
+     * @return time after which the caller should retry
      */
     public static Duration noLimitOwner(RandomGenerator random) {
         double share = 1 + SPREAD_SHARE * random.nextDouble();
@@ -83,12 +89,12 @@
     }
 
     /**
-     * Returns the time for a request that found no engine with room: by then the outputs that fill
-     * the engines now have mostly ended.
+     * Returns the retry time for a request that no engine had room for: by then, most of the
+     * outputs in progress have ended.
      *
-     * @param pace how fast the engines are
-     * @param random spreads the times
-     * @return when to come back
+     * @param pace measured speed of the engines
+     * @param random random source for spreading retries
+     * @return time after which the caller should retry
      */
     public static Duration engines(EnginePace pace, RandomGenerator random) {
         double millis =
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/RoundRobinPolicy.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/RoundRobinPolicy.java
@@ -9,10 +9,11 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A baseline: takes the available engines in turn, whatever their load. Stateless and thread-safe.
+ * Baseline policy: chooses the available engines in turn, regardless of load. Stateless and
+ * thread-safe.
  */
 public final class RoundRobinPolicy implements Policy {
-    /** The policy's name. */
+    /** Name of the policy in settings and reports. */
     public static final String NAME = "round-robin";
 
     @Override
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/Slowness.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/Slowness.java
@@ -9,33 +9,38 @@
 import java.util.stream.Stream;
 
 /**
- * How much longer an upstream takes than one of ordinary speed would, queueing included. What was
- * observed counts less as time passes; then an upstream is expected to be as fast as the fastest of
- * its service, but not slower than ordinary. Immutable.
+ * Ratio of the response time of an upstream to that of an upstream of nominal speed, queueing
+ * included. The weight of an observation decays with time; the upstream is then expected to be as
+ * fast as the fastest of its service, but never slower than nominal. Immutable.
  *
- * @param factor the smoothed ratio, 1 for ordinary speed, at {@code atNanos}
- * @param atNanos the monotonic time of the latest observation
+ * @param factor smoothed ratio as of {@code atNanos}; 1 for nominal speed
+ * @param atNanos monotonic time of the latest observation; 0 if there is none
  */
 public record Slowness(double factor, long atNanos) {
-    /** Of an upstream of which nothing was observed. */
+    /** State of an upstream without observations. */
     public static final Slowness NONE = new Slowness(1, 0);
 
-    /** The factor of ordinary speed. */
+    /** Factor of an upstream of nominal speed. */
     public static final double ORDINARY = 1;
 
-    /** Smoothing factor: how much one answer counts. */
+    /** Smoothing factor: the weight of one answer. */
     private static final double SMOOTHING = 0.3;
 
-    /** An observation counts half after this time, or a slow upstream got no second chance. */
+    /** Half-life of an observation. Without decay, a slow upstream would get no second chance. */
     private static final Duration HALF_LIFE = Duration.ofMillis(1_500);
 
-    /** Bounds of one observation: a fast cached answer or a pause is no measure. */
+    /**
+     * Lower bound of one observation, because a fast answer from a cache says nothing about the
+     * speed.
+     */
     private static final double MIN_RATIO = 0.7;
 
-    /** The largest ratio that one observation counts as. */
+    /**
+     * Upper bound of one observation, because a pause of the upstream says nothing about its speed.
+     */
     private static final double MAX_RATIO = 10;
 
-    /** Takes the ratio of the time that an answer took to the time that was expected of it. */
+    /** Records an answer by the ratio of its actual to its expected time. */
     Slowness afterAnswer(double ratio, double unobserved, long nowNanos) {
         double bounded = Math.clamp(ratio, MIN_RATIO, MAX_RATIO);
         double before = at(nowNanos, unobserved);
@@ -43,11 +48,11 @@
     }
 
     /**
-     * Returns what is expected now.
+     * Returns the factor expected now.
      *
-     * @param nowNanos the present time
-     * @param unobserved the factor of an upstream of which nothing was observed lately
-     * @return the factor
+     * @param nowNanos current monotonic time
+     * @param unobserved factor of an upstream without recent observations
+     * @return the decayed factor
      */
     double at(long nowNanos, double unobserved) {
         return unobserved + (factor - unobserved) * weight(nowNanos);
@@ -58,12 +63,12 @@
     }
 
     /**
-     * Returns the factor of an upstream of which nothing was observed lately: that of the fastest
-     * of the others, or 1 if that is less. If it were more, those in use would stay ahead of an
-     * upstream that had been passed over for a while, which would be passed over for good.
+     * Returns the factor of an upstream without recent observations: that of the fastest other
+     * upstream, or 1 if that is less. With a larger factor, the upstreams in use would always be
+     * preferred to one that had not been chosen for a while, and it would never be chosen again.
      *
-     * @param others what was observed of the upstreams of the service
-     * @param nowNanos the present time
+     * @param others observations of the upstreams of the service
+     * @param nowNanos current monotonic time
      * @return the factor, at most 1
      */
     public static double unobserved(Stream<Slowness> others, long nowNanos) {
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/TableAttemptRule.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/TableAttemptRule.java
@@ -9,35 +9,37 @@
 import org.orchidmount.errors.Failure;
 
 /**
- * Why a request to the table's upstreams is tried again or not. Pure.
+ * Decides whether a request to the upstreams of the table is tried again. Pure.
  *
- * <p>It stands beside {@link AttemptRule}, which serves upstreams that register themselves. There a
- * route says how often a request may run; here a completion may always run again, since each token
- * is delivered once by its offset, and a plain call only while its body is held or nothing was
- * sent. The retry budget is asked last, since asking takes from it.
+ * <p>{@link AttemptRule} does the same for upstreams that register themselves. There, the route
+ * limits how often a request may run. Here, a completion may always run again, because token
+ * offsets ensure that each token is delivered once. A plain call may be sent again only if its
+ * whole body is buffered or nothing was sent. The caller of this class asks the retry budget last,
+ * because asking takes from it.
  */
 public final class TableAttemptRule {
-    /** The most attempts in a row that bring a request no further. */
+    /** Maximum number of consecutive attempts without progress. */
     private static final int MAX_ATTEMPTS = 3;
 
     private TableAttemptRule() {}
 
     /**
-     * Tells whether attempts are left. An attempt that has delivered tokens was not in vain, so
-     * those before it do not count: each message that an engine leaves out may end one.
+     * Returns whether attempts are left. An attempt that delivered tokens made progress, so the
+     * attempts before it do not count: any message that an engine drops may end an attempt.
      *
-     * @param attempts those made so far, from the latest that delivered tokens on
-     * @return false if the request is to be given up
+     * @param attempts number of attempts from the latest one that delivered tokens on
+     * @return false if the request must be given up
      */
     public static boolean hasAttemptsLeft(int attempts) {
         return attempts < MAX_ATTEMPTS;
     }
 
     /**
-     * Tells whether another engine may do better than the one that failed a completion.
+     * Returns whether another engine may succeed where one has failed a completion.
      *
-     * @param failure why it failed
-     * @return false if the request itself is at fault, or nobody waits for it here
+     * @param failure why the attempt failed
+     * @return false if the request itself is at fault, or if no caller of this instance waits for
+     *     it
      */
     public static boolean mayRetryCompletion(Failure failure) {
         return switch (failure) {
@@ -51,25 +53,26 @@
     }
 
     /**
-     * Tells whether a retry of a completion takes from the retry budget. An output that its caller
-     * has in part goes on without: giving it up would waste all its work, and there are no more of
-     * those than were in progress. Beyond the first few attempts it takes all the same, so that
-     * engines that break every stream do not multiply the work of each request.
+     * Returns whether a retry of a completion takes from the retry budget. An output that was
+     * partly delivered is continued without the budget: giving it up would waste all its work, and
+     * the number of such retries is bounded by the outputs in progress. After the first few
+     * attempts it takes from the budget nevertheless, so that engines that break every stream do
+     * not multiply the work of each request.
      *
-     * @param attempts all those made so far
-     * @param deliveredTokens the tokens that the caller has
-     * @return false if the budget is not asked
+     * @param attempts number of all attempts so far
+     * @param deliveredTokens tokens delivered to the caller
+     * @return false if no budget is needed
      */
     public static boolean takesFromBudget(int attempts, int deliveredTokens) {
         return deliveredTokens == 0 || attempts >= MAX_ATTEMPTS;
     }
 
     /**
-     * Tells whether a plain call may be sent again.
+     * Returns whether a plain call may be sent again.
      *
-     * @param isBodyHeld whether its whole body is held here
+     * @param isBodyHeld whether the whole request body is buffered
      * @param failure why the attempt failed
-     * @return false if a part of the body is gone
+     * @return false if part of the body is no longer available
      */
     public static boolean mayResendPlain(boolean isBodyHeld, Failure failure) {
         return isBodyHeld || !failure.mayHaveRun();
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/UpstreamCost.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/UpstreamCost.java
@@ -6,41 +6,44 @@
 package org.orchidmount.routing;
 
 /**
- * Why this upstream: the one with the least cost is taken, that is, the one that is expected to be
- * done first. Pure.
+ * Computes the cost by which an upstream is chosen. The upstream with the lowest cost, that is,
+ * with the earliest expected completion, is chosen. Pure.
  *
- * <p>The cost is the backlog before the work, plus the work, times the upstream's slowness, plus
- * what its failures and a foreign availability zone add, plus a random share of the work.
+ * <p>The cost is the sum of backlog and work, multiplied by the upstream's slowness, plus penalties
+ * for its failures and for another availability zone, plus a random share of the work.
  */
 public final class UpstreamCost {
     /**
-     * By what share of its work a choice is varied at random, so that instances that know the same
-     * do not all choose the same upstream.
+     * Fraction of the work by which the cost is varied at random, so that instances with the same
+     * data do not all choose the same upstream.
      */
     private static final double TIE_SHARE = 0.1;
 
-    /** Milliseconds of work that a plain request counts as. */
+    /** Work that a plain request counts as, in milliseconds. */
     public static final double PLAIN_REQUEST_MILLIS = 70;
 
-    /** Milliseconds that another availability zone counts for a plain request. */
+    /** Cost of another availability zone for a plain request, in milliseconds. */
     public static final double OTHER_ZONE_PLAIN_MILLIS = 15;
 
-    /** The same for an engine, between which and another a KV cache is moved. */
+    /**
+     * Cost of another availability zone for an engine, in milliseconds; a KV cache is transferred
+     * between engines.
+     */
     public static final double OTHER_ZONE_ENGINE_MILLIS = 30;
 
-    /** Times its work that a request counts more at an engine with full memory. */
+    /** Additional cost of a request on an engine with full memory, as a multiple of its work. */
     private static final double FULL_MEMORY_FACTOR = 1.25;
 
     private UpstreamCost() {}
 
     /**
-     * Estimates when an upstream of ordinary speed would have done a piece of work.
+     * Estimates when an upstream of nominal speed completes a piece of work.
      *
      * @param workMillis the work
-     * @param backlogMillis the work before it
-     * @param slots how many requests the upstream works on at once
-     * @param isSerial true for engines, which work on one prompt after the other
-     * @return milliseconds
+     * @param backlogMillis work queued before it
+     * @param slots number of requests that the upstream works on concurrently
+     * @param isSerial true for engines, which process one prompt after the other
+     * @return milliseconds from now
      */
     public static double ordinaryMillis(
             double workMillis, double backlogMillis, int slots, boolean isSerial) {
@@ -49,11 +52,11 @@
     }
 
     /**
-     * Returns what the memory in use adds to the backlog of a decode engine: the fuller it is, the
-     * longer each token takes and the sooner it has no room.
+     * Returns the additional backlog of a decode engine due to its memory in use. A fuller engine
+     * takes longer for each token and runs out of memory sooner.
      *
-     * @param memoryShare the share of its memory in use
-     * @param workMillis the work of the request
+     * @param memoryShare fraction of the engine's memory in use
+     * @param workMillis work of the request
      * @return milliseconds
      */
     public static double memoryMillis(double memoryShare, double workMillis) {
@@ -63,10 +66,10 @@
     /**
      * Returns the cost of an upstream.
      *
-     * @param expectedMillis when the work is expected to be done
+     * @param expectedMillis expected completion time of the work
      * @param workMillis the work
-     * @param zoneMillis what another availability zone than the own one counts; 0 in the own one
-     * @param draw a number drawn evenly from 0 to below 1
+     * @param zoneMillis cost of the upstream's availability zone; 0 for the zone of this instance
+     * @param draw random number, uniform from 0 to below 1
      * @return the cost in milliseconds
      */
     public static double millis(
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/UpstreamHealth.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/UpstreamHealth.java
@@ -6,40 +6,46 @@
 package org.orchidmount.routing;
 
 /**
- * Why an upstream is avoided: what its calls to it have shown, and what that adds to the time
- * expected of it.
+ * Health of an upstream as seen in its calls, and the time that it adds to the expected completion
+ * time.
  *
- * <p>Inputs are the ends of calls of this instance only; nothing is exchanged with other instances
- * and nothing survives a restart. Immutable; times are monotonic nanoseconds of one clock.
+ * <p>Based only on completed calls of this instance; nothing is exchanged with other instances and
+ * nothing survives a restart. Immutable; times are monotonic nanoseconds of one clock.
  *
- * @param slowness how much slower than ordinary it answers
- * @param failures what failures add
- * @param backoff whether it is ejected
- * @param refusals whether it refuses work
+ * @param slowness response time relative to nominal speed
+ * @param failures penalty for recent failures
+ * @param backoff ejection after consecutive failures
+ * @param refusals back-off after refusals
  */
 public record UpstreamHealth(
         Slowness slowness,
         FailurePenalty failures,
         FailureBackoff backoff,
         RefusalBackoff refusals) {
-    /** Of an upstream of which nothing is known. */
+    /** State of an upstream without calls. */
     public static final UpstreamHealth UNKNOWN =
             new UpstreamHealth(
                     Slowness.NONE, FailurePenalty.NONE, FailureBackoff.NONE, RefusalBackoff.NONE);
 
-    /** Milliseconds added to an ejected upstream: more than any estimate, so it comes last. */
+    /**
+     * Milliseconds added for an ejected upstream: more than any estimate, so that it is chosen
+     * last.
+     */
     public static final double EJECTED_MILLIS = 100_000;
 
-    /** Milliseconds added to one that refuses: about a target, so that others come first. */
+    /**
+     * Milliseconds added for an upstream that refuses work: about a latency target, so that others
+     * are chosen first.
+     */
     private static final double REFUSING_MILLIS = 1_000;
 
     /**
-     * Counts how long an answer took, whether or not it was of any use.
+     * Records the response time of an answer, whether or not the answer was usable.
      *
-     * @param ratio the time it took by the time expected of an upstream of ordinary speed
-     * @param unobserved the slowness of an upstream of which nothing was observed lately
-     * @param nowNanos the present time
-     * @return the state after it
+     * @param ratio actual response time divided by the time expected at nominal speed
+     * @param unobserved slowness of an upstream without recent observations
+     * @param nowNanos current monotonic time
+     * @return the updated state
      */
     public UpstreamHealth afterAnswer(double ratio, double unobserved, long nowNanos) {
         Slowness next = slowness.afterAnswer(ratio, unobserved, nowNanos);
@@ -47,9 +53,9 @@
     }
 
     /**
-     * Counts that an upstream did what it was given.
+     * Records a successful call.
      *
-     * @return the state after it
+     * @return the updated state
      */
     public UpstreamHealth afterSuccess() {
         return new UpstreamHealth(
@@ -57,20 +63,20 @@
     }
 
     /**
-     * Counts a call that failed and may have run.
+     * Records a failed call that the upstream may have run.
      *
-     * @param nowNanos the present time
-     * @return the state after it
+     * @param nowNanos current monotonic time
+     * @return the updated state
      */
     public UpstreamHealth afterFailure(long nowNanos) {
         return failed(backoff.afterFailure(nowNanos), nowNanos);
     }
 
     /**
-     * Counts a connection that could not be made.
+     * Records a failed connection attempt.
      *
-     * @param nowNanos the present time
-     * @return the state after it
+     * @param nowNanos current monotonic time
+     * @return the updated state
      */
     public UpstreamHealth afterUnreachable(long nowNanos) {
         return failed(backoff.afterUnreachable(nowNanos), nowNanos);
@@ -82,20 +88,20 @@
     }
 
     /**
-     * Counts a refusal, which is no failure.
+     * Records a refusal, which is not a failure.
      *
-     * @param nowNanos the present time
-     * @return the state after it
+     * @param nowNanos current monotonic time
+     * @return the updated state
      */
     public UpstreamHealth afterRefusal(long nowNanos) {
         return new UpstreamHealth(slowness, failures, backoff, refusals.afterRefusal(nowNanos));
     }
 
     /**
-     * Counts a refusal of a request for which there was room.
+     * Records a refusal of a request for which memory was reserved.
      *
-     * @param nowNanos the present time
-     * @return the state after it
+     * @param nowNanos current monotonic time
+     * @return the updated state
      */
     public UpstreamHealth afterRefusalDespiteRoom(long nowNanos) {
         return new UpstreamHealth(
@@ -103,11 +109,11 @@
     }
 
     /**
-     * Estimates when work would be done here.
+     * Estimates when the upstream completes a piece of work.
      *
-     * @param ordinaryMillis when an upstream of ordinary speed would have done it
-     * @param unobserved the slowness of an upstream of which nothing was observed lately
-     * @param nowNanos the present time
+     * @param ordinaryMillis completion time at nominal speed
+     * @param unobserved slowness of an upstream without recent observations
+     * @param nowNanos current monotonic time
      * @return milliseconds from now
      */
     public double expectedMillis(double ordinaryMillis, double unobserved, long nowNanos) {
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/UpstreamView.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/UpstreamView.java
@@ -6,25 +6,26 @@
 package org.orchidmount.routing;
 
 /**
- * What is known of one upstream at the time of a decision. Immutable.
+ * State of one upstream at the time of a decision. Immutable.
  *
- * <p>Figures called "reported" come from the engine and lag behind; figures called "own" are this
- * instance's reservations and are exact.
+ * <p>Reported values come from the engine and lag behind; own values are the reservations of this
+ * instance and are exact.
  *
  * @param name the upstream's name
  * @param zone its availability zone
- * @param weight its share of the work
- * @param available false while it drains or its circuit is open
- * @param maxRunning the most requests running on it, 0 for no limit
- * @param ownRunning the requests placed on it by this instance
- * @param reportedRunning the requests it reported
- * @param kvBytes its memory for KV cache
- * @param kvBytesTaken the memory taken: reported plus what was reserved since the report
- * @param reportedKvBytes the memory it reported as taken
- * @param backlogTokens the uncached prompt tokens placed on it and not yet processed
- * @param prefillTokensPerSecond its measured or assumed rate
- * @param linkBytesPerSecond the rate at which it imports KV cache
- * @param linkBacklogBytes the KV cache reserved on its link and not yet transferred
+ * @param weight its relative share of the work
+ * @param available false while the upstream drains or its circuit is open
+ * @param maxRunning maximum number of concurrent requests, 0 for no limit
+ * @param ownRunning requests placed on it by this instance
+ * @param reportedRunning running requests by its latest report
+ * @param kvBytes KV cache memory in total
+ * @param kvBytesTaken KV cache memory in use: the reported usage plus reservations made since the
+ *     report
+ * @param reportedKvBytes KV cache memory in use by its latest report
+ * @param backlogTokens uncached prompt tokens placed on it and not yet processed
+ * @param prefillTokensPerSecond measured or assumed prefill rate
+ * @param linkBytesPerSecond rate at which it imports KV cache
+ * @param linkBacklogBytes KV cache reserved on its link and not yet transferred
  */
 public record UpstreamView(
         String name,
@@ -42,16 +43,16 @@
         long linkBytesPerSecond,
         long linkBacklogBytes) {
     /**
-     * Tells whether one more request may run.
+     * Returns whether the upstream can run one more request.
      *
-     * @return false if the limit on running requests is reached
+     * @return false if the maximum number of concurrent requests is reached
      */
     public boolean hasSlot() {
         return maxRunning == 0 || Math.max(ownRunning, reportedRunning) < maxRunning;
     }
 
     /**
-     * Returns the memory that is free.
+     * Returns the free KV cache memory.
      *
      * @return bytes, at least 0
      */
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/package-info.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/package-info.java
@@ -4,15 +4,16 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 /**
- * Every rule that chooses, admits, places, retries or gives up, each in a class of its own with its
- * inputs, units and reason. {@code docs/DECISIONS.md} leads from a question to its class.
+ * Rules that choose, admit, place, retry or give up, each in a class of its own with its inputs,
+ * units and rationale. {@code docs/DECISIONS.md} maps each question to its class.
  *
- * <p>Pure: no I/O, no thread, no clock; times are passed in as monotonic nanoseconds. Only {@code
- * ClientRetryDetector} and {@code OutputLengthEstimator} remember what they have seen.
+ * <p>Pure: no I/O, no threads, no clock; times are passed in as monotonic nanoseconds. Only {@code
+ * ClientRetryDetector} and {@code OutputLengthEstimator} keep observations.
  *
- * <p>Two families: for upstreams that register themselves ({@code UpstreamCost}, {@code
- * UpstreamHealth}, {@code PrefillRule}, {@code MemoryRule}, {@code AttemptRule} and more), carried
- * out by {@code relay}; and for engines of the table ({@code Policy} with {@code JointPolicy} and
- * two baselines), carried out by {@code controller} and the daemon module.
+ * <p>There are two families. The rules for upstreams that register themselves ({@code
+ * UpstreamCost}, {@code UpstreamHealth}, {@code PrefillRule}, {@code MemoryRule}, {@code
+ * AttemptRule} and more) are applied by {@code relay}. The rules for engines of the table ({@code
+ * Policy} with {@code JointPolicy} and two baselines) are applied by {@code controller} and the
+ * daemon module.
  */
 package org.orchidmount.routing;
