--- a/org.orchidmount/src/main/java/org/orchidmount/limits/AccountLimits.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/limits/AccountLimits.java
@@ -69,8 +69,8 @@
         QuotaLimit shared = mTolerance.limit(limit.ratePerSecond(), limit.burst());
         QuotaAsk ask =
                 new QuotaAsk(account.name(), shared, tableVersion, limit.units(statedTokens));
-        Duration longest = Duration.ofNanos((long) (OWNER_WAIT_SHARE * target.toNanos()));
-        return new Taken(Optional.of(ask), mQuota.take(ask, longest));
+        Duration maxWait = Duration.ofNanos((long) (OWNER_WAIT_SHARE * target.toNanos()));
+        return new Taken(Optional.of(ask), mQuota.take(ask, maxWait));
     }
 
     /**
--- a/org.orchidmount/src/main/java/org/orchidmount/limits/TokenBucketRetryBudget.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/limits/TokenBucketRetryBudget.java
@@ -15,13 +15,13 @@
  */
 public final class TokenBucketRetryBudget implements RetryBudget {
     /** Capacity of the bucket: the retries caused by the loss of one engine. */
-    private static final double STOCK = 64;
+    private static final double CAPACITY = 64;
 
     private static final double PERCENT = 100;
 
     private final OrderedLock mLock = new OrderedLock(LockRank.LIMITS);
-    private final double mEarned;
-    private double mStock = STOCK;
+    private final double mTokensPerRequest;
+    private double mTokens = CAPACITY;
 
     /**
      * Creates a budget with a full bucket, or an empty one if no retries are allowed.
@@ -29,26 +29,26 @@
      * @param retryPercent retries earned by 100 requests; 0 allows no retry
      */
     public TokenBucketRetryBudget(int retryPercent) {
-        mEarned = retryPercent / PERCENT;
+        mTokensPerRequest = retryPercent / PERCENT;
         if (retryPercent == 0) {
-            mStock = 0;
+            mTokens = 0;
         }
     }
 
     @Override
     public void countRequest() {
         try (OrderedLock.Held _ = mLock.hold()) {
-            mStock = Math.min(STOCK, mStock + mEarned);
+            mTokens = Math.min(CAPACITY, mTokens + mTokensPerRequest);
         }
     }
 
     @Override
     public boolean tryTake() {
         try (OrderedLock.Held _ = mLock.hold()) {
-            if (mStock < 1) {
+            if (mTokens < 1) {
                 return false;
             }
-            mStock--;
+            mTokens--;
             return true;
         }
     }
@@ -56,7 +56,7 @@
     @Override
     public void giveBack() {
         try (OrderedLock.Held _ = mLock.hold()) {
-            mStock = Math.min(STOCK, mStock + 1);
+            mTokens = Math.min(CAPACITY, mTokens + 1);
         }
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/limits/WindowRetryBudget.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/limits/WindowRetryBudget.java
@@ -30,7 +30,7 @@
      * Fraction of the limit that is used. The rest is a margin for windows that are not aligned
      * with the buckets, and for instances that do not know yet how many share the slack.
      */
-    private static final double USED_SHARE = 0.75;
+    private static final double USABLE_SHARE = 0.75;
 
     private final OrderedLock mLock = new OrderedLock(LockRank.LIMITS);
     private final Limit mLimit;
@@ -77,7 +77,7 @@
             int requests = Arrays.stream(mRequests).sum();
             int retries = Arrays.stream(mRetries).sum();
             double slack = (double) mLimit.slack() / instances;
-            if (retries + 1 > USED_SHARE * (mLimit.ratio() * requests + slack)) {
+            if (retries + 1 > USABLE_SHARE * (mLimit.ratio() * requests + slack)) {
                 return false;
             }
             mRetries[newest]++;
--- a/org.orchidmount/src/main/java/org/orchidmount/load/EngineLoads.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/load/EngineLoads.java
@@ -30,10 +30,10 @@
  *
  * <ul>
  *   <li>A sequence counts until its end is announced, its engine registers a new incarnation, or no
- *       announcement of it has arrived for {@link #FORGET_AFTER}.
+ *       announcement of it has arrived for {@link #EXPIRY}.
  *   <li>Once a sequence has ended, an older announcement that arrives late over another path does
  *       not revive it.
- *   <li>If the incarnation of an engine is known, announcements for earlier incarnations never
+ *   <li>If the incarnation of an engine is recorded, announcements for earlier incarnations never
  *       count. An announcement that states no incarnation, as from an instance that does not know
  *       it, counts unless the engine has restarted since the sequence was first received.
  * </ul>
@@ -45,51 +45,52 @@
      * Three missed announcements: the instance that announced the sequence is assumed to have
      * stopped.
      */
-    private static final Duration FORGET_AFTER = Duration.ofSeconds(5);
+    private static final Duration EXPIRY = Duration.ofSeconds(5);
 
     /** Number of engines above which the incarnations of engines without sequences are dropped. */
-    private static final int FORGET_STARTS_COUNT = 4_096;
+    private static final int MAX_INCARNATIONS = 4_096;
 
     private final OrderedLock mLock = new OrderedLock(LockRank.LOADS);
     private final MonotonicClock mClock;
-    private final Map<String, Map<String, Known>> mSequences = new HashMap<>();
+    private final Map<String, Map<String, Announcement>> mSequences = new HashMap<>();
 
     /** Registered incarnation of each engine that has stated one, by engine id. */
-    private final Map<String, Incarnation> mStarted = new HashMap<>();
+    private final Map<String, Incarnation> mIncarnations = new HashMap<>();
 
     /**
      * The latest announcement of a sequence.
      *
      * @param sequence the sequence
-     * @param sinceNanos monotonic time of its first announcement
-     * @param updatedNanos monotonic time of its latest announcement
+     * @param firstReceivedNanos monotonic time of its first announcement
+     * @param lastReceivedNanos monotonic time of its latest announcement
      */
-    private record Known(InFlightSequence sequence, long sinceNanos, long updatedNanos) {
-        boolean isWithoutStart() {
+    private record Announcement(
+            InFlightSequence sequence, long firstReceivedNanos, long lastReceivedNanos) {
+        boolean isWithoutIncarnation() {
             return !sequence.engine().isStartStated();
         }
 
-        Known asEnded() {
-            return new Known(sequence.asEnded(), sinceNanos, updatedNanos);
+        Announcement asEnded() {
+            return new Announcement(sequence.asEnded(), firstReceivedNanos, lastReceivedNanos);
         }
 
-        Known followedBy(Known next) {
+        Announcement mergedWith(Announcement next) {
             if (sequence.ended()) {
-                // Announced once more: it is remembered as ended for as long as that goes on.
-                return new Known(sequence, sinceNanos, next.updatedNanos);
+                // A repeated announcement keeps the ended sequence from expiring.
+                return new Announcement(sequence, firstReceivedNanos, next.lastReceivedNanos);
             }
-            return isFollowedBy(next) ? next.since(this) : this;
+            return isSupersededBy(next) ? next.withFirstReceivedOf(this) : this;
         }
 
-        private boolean isFollowedBy(Known next) {
+        private boolean isSupersededBy(Announcement next) {
             boolean older =
                     next.sequence.generatedTokens() < sequence.generatedTokens()
                             && !next.sequence.ended();
             return !older;
         }
 
-        private Known since(Known before) {
-            return new Known(sequence, before.sinceNanos, updatedNanos);
+        private Announcement withFirstReceivedOf(Announcement before) {
+            return new Announcement(sequence, before.firstReceivedNanos, lastReceivedNanos);
         }
     }
 
@@ -114,23 +115,23 @@
      */
     public void registered(Incarnation engine) {
         try (OrderedLock.Held _ = mLock.hold()) {
-            if (mStarted.size() > FORGET_STARTS_COUNT) {
-                mStarted.keySet().retainAll(mSequences.keySet());
+            if (mIncarnations.size() > MAX_INCARNATIONS) {
+                mIncarnations.keySet().retainAll(mSequences.keySet());
             }
             if (!engine.isStartStated()) {
-                mStarted.remove(engine.id());
+                mIncarnations.remove(engine.id());
                 return;
             }
-            Incarnation before = mStarted.put(engine.id(), engine);
-            endStatedBefore(engine);
+            Incarnation before = mIncarnations.put(engine.id(), engine);
+            removeEarlierIncarnations(engine);
             if (before != null && !before.equals(engine)) {
-                endUnstated(engine);
+                endWithoutIncarnation(engine);
             }
         }
     }
 
-    private void endStatedBefore(Incarnation engine) {
-        Map<String, Known> atEngine = mSequences.getOrDefault(engine.id(), new HashMap<>());
+    private void removeEarlierIncarnations(Incarnation engine) {
+        Map<String, Announcement> atEngine = mSequences.getOrDefault(engine.id(), new HashMap<>());
         atEngine.values().removeIf(old -> engine.provesEndOf(old.sequence().engine()));
     }
 
@@ -138,17 +139,17 @@
      * Marks the sequences without an incarnation as ended. They are kept, because later
      * announcements of them may state no incarnation either and must not revive them.
      */
-    private void endUnstated(Incarnation engine) {
-        Map<String, Known> atEngine = mSequences.getOrDefault(engine.id(), new HashMap<>());
-        atEngine.replaceAll((id, old) -> old.isWithoutStart() ? old.asEnded() : old);
+    private void endWithoutIncarnation(Incarnation engine) {
+        Map<String, Announcement> atEngine = mSequences.getOrDefault(engine.id(), new HashMap<>());
+        atEngine.replaceAll((id, old) -> old.isWithoutIncarnation() ? old.asEnded() : old);
     }
 
     /**
      * Returns whether the engine has registered a newer incarnation than the one that the sequence
      * was placed on.
      */
-    private boolean isOfEarlierStart(InFlightSequence sequence) {
-        Incarnation registered = mStarted.get(sequence.upstreamId());
+    private boolean isOfEarlierIncarnation(InFlightSequence sequence) {
+        Incarnation registered = mIncarnations.get(sequence.upstreamId());
         return registered != null && registered.provesEndOf(sequence.engine());
     }
 
@@ -160,7 +161,7 @@
      */
     public void update(InFlightSequence sequence) {
         try (OrderedLock.Held _ = mLock.hold()) {
-            if (isOfEarlierStart(sequence)) {
+            if (isOfEarlierIncarnation(sequence)) {
                 return;
             }
             long nowNanos = mClock.nanoTime();
@@ -168,8 +169,8 @@
                     .computeIfAbsent(sequence.upstreamId(), id -> new HashMap<>())
                     .merge(
                             sequence.id(),
-                            new Known(sequence, nowNanos, nowNanos),
-                            Known::followedBy);
+                            new Announcement(sequence, nowNanos, nowNanos),
+                            Announcement::mergedWith);
         }
     }
 
@@ -179,17 +180,17 @@
      * @param candidate the sequence to place; its engine is ignored
      * @param memoryTokens KV cache memory of each engine, in tokens
      * @param pace measured speed of the engines
-     * @return ids of the full engines; an engine without known sequences is never included
+     * @return ids of the full engines; an engine without sequences is never included
      */
     public Set<String> saturatedEngines(
             InFlightSequence candidate, long memoryTokens, EnginePace pace) {
         try (OrderedLock.Held _ = mLock.hold()) {
             long nowNanos = mClock.nanoTime();
-            forgetOld(nowNanos);
+            removeExpired(nowNanos);
             Set<String> saturated = new HashSet<>();
             mSequences.forEach(
-                    (upstreamId, known) -> {
-                        if (!fits(known, candidate, memoryTokens, pace, nowNanos)) {
+                    (upstreamId, atEngine) -> {
+                        if (!fits(atEngine, candidate, memoryTokens, pace, nowNanos)) {
                             saturated.add(upstreamId);
                         }
                     });
@@ -206,7 +207,7 @@
     public int prefillBacklogTokens(String upstreamId) {
         try (OrderedLock.Held _ = mLock.hold()) {
             return inFlight(upstreamId)
-                    .map(Known::sequence)
+                    .map(Announcement::sequence)
                     .filter(InFlightSequence::isPrefill)
                     .mapToInt(InFlightSequence::promptTokens)
                     .sum();
@@ -225,9 +226,9 @@
             long nowNanos = mClock.nanoTime();
             return inFlight(upstreamId)
                     .mapToDouble(
-                            known ->
-                                    known.sequence().promptTokens()
-                                            + generatedTokens(known, pace, nowNanos))
+                            announcement ->
+                                    announcement.sequence().promptTokens()
+                                            + generatedTokens(announcement, pace, nowNanos))
                     .sum();
         }
     }
@@ -240,13 +241,16 @@
      */
     public List<String> sequencesAt(String upstreamId) {
         try (OrderedLock.Held _ = mLock.hold()) {
-            return inFlight(upstreamId).map(known -> known.sequence().id()).sorted().toList();
+            return inFlight(upstreamId)
+                    .map(announcement -> announcement.sequence().id())
+                    .sorted()
+                    .toList();
         }
     }
 
-    private Stream<Known> inFlight(String upstreamId) {
+    private Stream<Announcement> inFlight(String upstreamId) {
         return mSequences.getOrDefault(upstreamId, Map.of()).values().stream()
-                .filter(known -> !known.sequence().ended());
+                .filter(announcement -> !announcement.sequence().ended());
     }
 
     /**
@@ -261,54 +265,61 @@
      */
     public boolean keepsPlace(InFlightSequence sequence, long memoryTokens, EnginePace pace) {
         try (OrderedLock.Held _ = mLock.hold()) {
-            if (isOfEarlierStart(sequence)) {
+            if (isOfEarlierIncarnation(sequence)) {
                 return false;
             }
-            Map<String, Known> atEngine = mSequences.getOrDefault(sequence.upstreamId(), Map.of());
-            Known own = atEngine.get(sequence.id());
+            Map<String, Announcement> atEngine =
+                    mSequences.getOrDefault(sequence.upstreamId(), Map.of());
+            Announcement own = atEngine.get(sequence.id());
             if (own == null) {
                 return true;
             }
-            Map<String, Known> before = new HashMap<>(atEngine);
+            Map<String, Announcement> before = new HashMap<>(atEngine);
             before.values().removeIf(other -> !hasPrecedence(other, own));
             return fits(before, sequence, memoryTokens, pace, mClock.nanoTime());
         }
     }
 
-    private static boolean hasPrecedence(Known other, Known own) {
+    private static boolean hasPrecedence(Announcement other, Announcement own) {
         return MemoryRule.hasPrecedence(
-                other.sinceNanos(), other.sequence().id(), own.sinceNanos(), own.sequence().id());
+                other.firstReceivedNanos(),
+                other.sequence().id(),
+                own.firstReceivedNanos(),
+                own.sequence().id());
     }
 
     private boolean fits(
-            Map<String, Known> atEngine,
+            Map<String, Announcement> atEngine,
             InFlightSequence candidate,
             long memoryTokens,
             EnginePace pace,
             long nowNanos) {
         List<MemoryForecast.Sequence> sequences = new ArrayList<>(atEngine.size() + 1);
         sequences.add(candidate.forecastInput(0));
-        for (Known known : atEngine.values()) {
-            if (!known.sequence().ended()) {
-                double tokens = generatedTokens(known, pace, nowNanos);
-                sequences.add(known.sequence().forecastInput(tokens));
+        for (Announcement announcement : atEngine.values()) {
+            if (!announcement.sequence().ended()) {
+                double tokens = generatedTokens(announcement, pace, nowNanos);
+                sequences.add(announcement.sequence().forecastInput(tokens));
             }
         }
         return MemoryRule.fits(sequences, memoryTokens);
     }
 
     /** Extrapolates the number of generated tokens from the latest announcement. */
-    private static double generatedTokens(Known known, EnginePace pace, long nowNanos) {
-        double sinceMillis = Millis.ofNanos(nowNanos - known.updatedNanos());
-        boolean begun = known.sequence().generatedTokens() > 0;
+    private static double generatedTokens(
+            Announcement announcement, EnginePace pace, long nowNanos) {
+        double sinceMillis = Millis.ofNanos(nowNanos - announcement.lastReceivedNanos());
+        boolean begun = announcement.sequence().generatedTokens() > 0;
         double growingMillis =
                 begun ? sinceMillis : Math.max(0, sinceMillis - pace.firstTokenMillis());
-        return known.sequence().generatedTokens() + growingMillis * pace.outputTokensPerMilli();
+        return announcement.sequence().generatedTokens()
+                + growingMillis * pace.outputTokensPerMilli();
     }
 
-    private void forgetOld(long nowNanos) {
-        for (Map<String, Known> known : mSequences.values()) {
-            known.values().removeIf(old -> nowNanos - old.updatedNanos() > FORGET_AFTER.toNanos());
+    private void removeExpired(long nowNanos) {
+        for (Map<String, Announcement> atEngine : mSequences.values()) {
+            atEngine.values()
+                    .removeIf(old -> nowNanos - old.lastReceivedNanos() > EXPIRY.toNanos());
         }
         mSequences.values().removeIf(Map::isEmpty);
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/load/InFlightSequence.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/load/InFlightSequence.java
@@ -108,25 +108,31 @@
     /**
      * Returns a copy for another incarnation of the engine, with the same sequence id.
      *
-     * @param place the engine and its incarnation
+     * @param newEngine the engine and its incarnation
      * @return the updated sequence
      */
-    public InFlightSequence at(Incarnation place) {
+    public InFlightSequence at(Incarnation newEngine) {
         return new InFlightSequence(
-                place, id, promptTokens, expectedTokens, maxOutputTokens, generatedTokens, ended);
+                newEngine,
+                id,
+                promptTokens,
+                expectedTokens,
+                maxOutputTokens,
+                generatedTokens,
+                ended);
     }
 
     /**
      * Returns a copy that is placed on an engine. The placement number is appended to the id, so
      * that each placement of a request has a unique id.
      *
-     * @param place the engine and its incarnation
+     * @param newEngine the engine and its incarnation
      * @param placement number of the placement within the request
      * @return the placed sequence
      */
-    public InFlightSequence placedAt(Incarnation place, int placement) {
+    public InFlightSequence placedAt(Incarnation newEngine, int placement) {
         return new InFlightSequence(
-                place,
+                newEngine,
                 id + "/" + placement,
                 promptTokens,
                 expectedTokens,
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/AttemptRule.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/AttemptRule.java
@@ -24,7 +24,7 @@
      * Multiple of the latency target that an upstream may remain silent if another one may be
      * tried.
      */
-    private static final double SILENCE_FACTOR = 1.3;
+    private static final double TIMEOUT_FACTOR = 1.3;
 
     private AttemptRule() {}
 
@@ -66,14 +66,14 @@
      *
      * @param history the attempts so far
      * @param limits retry settings of the route
-     * @param left time until the deadline of the request
+     * @param remaining time until the deadline of the request
      * @return false if the request must be given up
      */
-    public static boolean mayTry(History history, Limits limits, Duration left) {
+    public static boolean mayTry(History history, Limits limits, Duration remaining) {
         boolean mayRun =
                 history.executions() == 0
                         || limits.isIdempotent() && history.executions() < limits.maxExecutions();
-        return mayRun && history.attempts() < MAX_ATTEMPTS && left.isPositive();
+        return mayRun && history.attempts() < MAX_ATTEMPTS && remaining.isPositive();
     }
 
     /**
@@ -92,17 +92,17 @@
      * @param history the attempts so far
      * @param limits retry settings of the route
      * @param target latency target of the request
-     * @param left time until the deadline of the request
-     * @return {@code left}, or less if the request may then be tried elsewhere
+     * @param remaining time until the deadline of the request
+     * @return {@code remaining}, or less if the request may then be tried elsewhere
      */
     public static Duration silenceLimit(
-            History history, Limits limits, Duration target, Duration left) {
-        boolean another =
+            History history, Limits limits, Duration target, Duration remaining) {
+        boolean mayRetry =
                 limits.isIdempotent() && history.executions() + 1 < limits.maxExecutions();
-        if (!another) {
-            return left;
+        if (!mayRetry) {
+            return remaining;
         }
-        Duration silence = Duration.ofNanos((long) (SILENCE_FACTOR * target.toNanos()));
-        return silence.compareTo(left) < 0 ? silence : left;
+        Duration timeout = Duration.ofNanos((long) (TIMEOUT_FACTOR * target.toNanos()));
+        return timeout.compareTo(remaining) < 0 ? timeout : remaining;
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/ClientRetryDetector.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/ClientRetryDetector.java
@@ -28,25 +28,25 @@
      * Fraction of the shortest initial timeout below which a request is a retry. The retry-after
      * time is at least 3 s of the sites' 14 s.
      */
-    private static final double FIRST_TRY_SHARE = 0.93;
+    private static final double RETRY_SHARE = 0.93;
 
     /** Number of initial timeouts remembered for each route. */
     private static final int SAMPLES = 64;
 
     /** Quantile taken as the longest initial timeout; leaves out outliers. */
-    private static final double LONG_QUANTILE = 0.95;
+    private static final double UPPER_QUANTILE = 0.95;
 
     /**
      * Retention of an initial timeout. It is far longer than any caller's timeout, and it keeps one
      * caller with a long timeout from turning all later requests into retries.
      */
-    private static final Duration WINDOW = Duration.ofMinutes(10);
+    private static final Duration RETENTION = Duration.ofMinutes(10);
 
     /**
      * Number of consecutive retries after which callers are assumed to have shortened their initial
      * timeout.
      */
-    private static final int RETRIES_IN_A_ROW = 64;
+    private static final int MAX_CONSECUTIVE_RETRIES = 64;
 
     /**
      * Maximum number of routes remembered, far more than a table has; the map is emptied beyond, to
@@ -54,49 +54,49 @@
      */
     private static final int MAX_ROUTES = 10_000;
 
-    private final Map<String, Waits> mWaits = new ConcurrentHashMap<>();
+    private final Map<String, RouteTimeouts> mTimeouts = new ConcurrentHashMap<>();
     private final MonotonicClock mClock;
 
-    private record Sample(long waitNanos, long atNanos) {}
+    private record Sample(long timeoutNanos, long atNanos) {}
 
     /** Recent initial timeouts of one route, oldest first. */
-    private static final class Waits {
+    private static final class RouteTimeouts {
         private final Deque<Sample> mSamples = new ArrayDeque<>();
-        private int mRetriesInARow;
+        private int mConsecutiveRetries;
 
-        synchronized boolean isRetry(long waitNanos, long nowNanos) {
-            forgetOld(nowNanos);
-            boolean isRetry = waitNanos < FIRST_TRY_SHARE * shortestNanos();
-            mRetriesInARow = isRetry ? mRetriesInARow + 1 : 0;
-            if (mRetriesInARow > RETRIES_IN_A_ROW) {
+        synchronized boolean isRetry(long timeoutNanos, long nowNanos) {
+            removeExpired(nowNanos);
+            boolean isRetry = timeoutNanos < RETRY_SHARE * lowerBoundNanos();
+            mConsecutiveRetries = isRetry ? mConsecutiveRetries + 1 : 0;
+            if (mConsecutiveRetries > MAX_CONSECUTIVE_RETRIES) {
                 mSamples.clear();
-                mRetriesInARow = 0;
+                mConsecutiveRetries = 0;
                 isRetry = false;
             }
             if (!isRetry) {
-                mSamples.addLast(new Sample(waitNanos, nowNanos));
+                mSamples.addLast(new Sample(timeoutNanos, nowNanos));
             }
             return isRetry;
         }
 
-        private void forgetOld(long nowNanos) {
-            while (!mSamples.isEmpty() && isOld(mSamples.getFirst(), nowNanos)) {
+        private void removeExpired(long nowNanos) {
+            while (!mSamples.isEmpty() && isExpired(mSamples.getFirst(), nowNanos)) {
                 mSamples.removeFirst();
             }
         }
 
-        private boolean isOld(Sample sample, long nowNanos) {
-            return mSamples.size() >= SAMPLES || nowNanos - sample.atNanos() >= WINDOW.toNanos();
+        private boolean isExpired(Sample sample, long nowNanos) {
+            return mSamples.size() >= SAMPLES || nowNanos - sample.atNanos() >= RETENTION.toNanos();
         }
 
         /** Returns the timeout below which new requests are rare; 0 before the first request. */
-        private double shortestNanos() {
+        private double lowerBoundNanos() {
             if (mSamples.isEmpty()) {
                 return 0;
             }
-            long[] sorted = mSamples.stream().mapToLong(Sample::waitNanos).sorted().toArray();
+            long[] sorted = mSamples.stream().mapToLong(Sample::timeoutNanos).sorted().toArray();
             double median = sorted[sorted.length / 2];
-            double longest = sorted[(int) (LONG_QUANTILE * sorted.length)];
+            double longest = sorted[(int) (UPPER_QUANTILE * sorted.length)];
             return median * median / longest;
         }
     }
@@ -114,14 +114,15 @@
      * Records a request and returns whether it is a client retry.
      *
      * @param route name of the request's route
-     * @param wait remaining timeout of the caller
+     * @param timeout remaining timeout of the caller
      * @return true if the request is a retry
      */
-    public boolean isRetry(String route, Duration wait) {
-        if (mWaits.size() > MAX_ROUTES) {
-            mWaits.clear();
+    public boolean isRetry(String route, Duration timeout) {
+        if (mTimeouts.size() > MAX_ROUTES) {
+            mTimeouts.clear();
         }
-        return mWaits.computeIfAbsent(route, name -> new Waits())
-                .isRetry(wait.toNanos(), mClock.nanoTime());
+        return mTimeouts
+                .computeIfAbsent(route, name -> new RouteTimeouts())
+                .isRetry(timeout.toNanos(), mClock.nanoTime());
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/EnginePaceEstimator.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/EnginePaceEstimator.java
@@ -39,13 +39,13 @@
     private static final double PRIOR_OUTPUT_MILLIS = 3_000;
 
     /** Weight of a prefill slower than the mean, relative to one that is faster. */
-    private static final double LONGER_PREFILL_WEIGHT = 0.4;
+    private static final double SLOWER_PREFILL_WEIGHT = 0.4;
 
     private final LogMean mPrefillMillisPerToken =
-            new LogMean(PRIOR_PREFILL_MILLIS_PER_TOKEN, LONGER_PREFILL_WEIGHT);
+            new LogMean(PRIOR_PREFILL_MILLIS_PER_TOKEN, SLOWER_PREFILL_WEIGHT);
     private final LogMean mDecodePrefillMillisPerToken =
             new LogMean(
-                    DECODE_PREFILL_FACTOR * PRIOR_PREFILL_MILLIS_PER_TOKEN, LONGER_PREFILL_WEIGHT);
+                    DECODE_PREFILL_FACTOR * PRIOR_PREFILL_MILLIS_PER_TOKEN, SLOWER_PREFILL_WEIGHT);
     private final LogMean mOutputTokensPerMilli = new LogMean(PRIOR_TOKENS_PER_MILLI, 1);
     private final LogMean mFirstTokenMillis = new LogMean(PRIOR_FIRST_TOKEN_MILLIS, 1);
     private final LogMean mOutputMillis = new LogMean(PRIOR_OUTPUT_MILLIS, 1);
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/EngineStagePlan.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/EngineStagePlan.java
@@ -44,7 +44,7 @@
      * an engine from work for some 10 s, and for a deviation of less than about one engine the
      * share would be as far off in the other direction afterwards.
      */
-    private static final double MIN_OFF = 0.95;
+    private static final double MIN_DEVIATION = 0.95;
 
     private final double mPrefillShare;
 
@@ -95,21 +95,21 @@
     }
 
     private Optional<Change> nextOfService(List<Registration> current, List<Registration> silent) {
-        List<Registration> counted = counted(current, silent);
-        long prefill = count(counted, Stage.PREFILL);
-        long target = target(counted.size());
-        if (counted.size() < MIN_ENGINES || prefill == target) {
+        List<Registration> withSilent = withSilent(current, silent);
+        long prefill = count(withSilent, Stage.PREFILL);
+        long target = target(withSilent.size());
+        if (withSilent.size() < MIN_ENGINES || prefill == target) {
             return Optional.empty();
         }
-        double off = Math.abs(prefill - mPrefillShare * counted.size());
-        if (prefill > 0 && off < MIN_OFF) {
+        double deviation = Math.abs(prefill - mPrefillShare * withSilent.size());
+        if (prefill > 0 && deviation < MIN_DEVIATION) {
             return Optional.empty();
         }
         Stage from = prefill > target ? Stage.PREFILL : Stage.DECODE;
         Stage to = prefill > target ? Stage.DECODE : Stage.PREFILL;
         return current.stream()
                 .filter(engine -> engine.stage() == from)
-                .max(Comparator.comparingLong(engine -> fewInZone(current, engine, to)))
+                .max(Comparator.comparingLong(engine -> zoneRank(current, engine, to)))
                 .map(engine -> new Change(engine, to));
     }
 
@@ -117,18 +117,18 @@
      * Returns the current engines with the silent ones added. Silent engines are left out if a
      * stage has no current engine, or if a current engine uses their address.
      */
-    private static List<Registration> counted(
+    private static List<Registration> withSilent(
             List<Registration> current, List<Registration> silent) {
         if (count(current, Stage.PREFILL) == 0 || count(current, Stage.DECODE) == 0) {
             return current;
         }
         Set<String> addresses =
                 current.stream().map(Registration::address).collect(Collectors.toSet());
-        List<Registration> counted = new ArrayList<>(current);
+        List<Registration> withSilent = new ArrayList<>(current);
         silent.stream()
                 .filter(engine -> !addresses.contains(engine.address()))
-                .forEach(counted::add);
-        return counted;
+                .forEach(withSilent::add);
+        return withSilent;
     }
 
     private static long count(List<Registration> engines, Stage stage) {
@@ -136,16 +136,16 @@
     }
 
     private long target(int engines) {
-        int least = engines >= ENGINES_FOR_SPARE ? 2 : 1;
+        int min = engines >= ENGINES_FOR_SPARE ? 2 : 1;
         long share = (long) (engines * mPrefillShare + ROUNDING);
-        return Math.clamp(share, least, Math.max(1, engines - 1));
+        return Math.clamp(share, min, Math.max(1, engines - 1));
     }
 
     /**
      * Returns a rank that is highest in the availability zone with the fewest engines of the new
      * stage.
      */
-    private static long fewInZone(List<Registration> engines, Registration engine, Stage stage) {
+    private static long zoneRank(List<Registration> engines, Registration engine, Stage stage) {
         return -engines.stream()
                 .filter(other -> other.zone().equals(engine.zone()) && other.stage() == stage)
                 .count();
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/JointPolicy.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/JointPolicy.java
@@ -27,7 +27,7 @@
     private static final double MILLIS_PER_SECOND = 1e3;
 
     /** Cost of a full decode engine relative to an empty one, in milliseconds. */
-    private static final double FULLNESS_MILLIS = 200;
+    private static final double OCCUPANCY_MILLIS = 200;
 
     /** Cost of another availability zone, in milliseconds. */
     private static final double OTHER_ZONE_MILLIS = 2;
@@ -57,14 +57,14 @@
         if (decode == null) {
             return waitOrRefuse(request, waitedMillis, Decision.WaitReason.NO_DECODE);
         }
-        double ahead =
+        double remainingMillis =
                 prefillMillis(input, prefill.candidate())
                         + transferMillis(request, decode.candidate().upstream());
-        long predicted = (long) Math.ceil(waitedMillis + ahead);
-        if (request.maxFirstTokenMillis() > 0 && predicted > request.maxFirstTokenMillis()) {
+        long predictedMillis = (long) Math.ceil(waitedMillis + remainingMillis);
+        if (request.maxFirstTokenMillis() > 0 && predictedMillis > request.maxFirstTokenMillis()) {
             return new Decision.Refuse(
                     Decision.RefuseReason.TOO_LATE,
-                    Math.max(RetryAfter.TABLE_MILLIS, (long) ahead));
+                    Math.max(RetryAfter.TABLE_MILLIS, (long) remainingMillis));
         }
         return new Decision.Place(
                 prefill.candidate().upstream().name(),
@@ -104,9 +104,9 @@
         if (!upstream.available() || !upstream.hasSlot() || !fits) {
             return Double.POSITIVE_INFINITY;
         }
-        double fullness = (double) upstream.kvBytesTaken() / upstream.kvBytes();
+        double occupancy = (double) upstream.kvBytesTaken() / upstream.kvBytes();
         return transferMillis(input.request(), upstream)
-                + FULLNESS_MILLIS * fullness / upstream.weight()
+                + OCCUPANCY_MILLIS * occupancy / upstream.weight()
                 + zoneMillis(input, upstream);
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/LogMean.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/LogMean.java
@@ -52,11 +52,11 @@
         return Math.exp(mLog);
     }
 
-    void observe(double figure) {
+    void observe(double observation) {
         mObservations++;
         boolean isEarly = mObservations <= EARLY_OBSERVATIONS;
         double maxStep = isEarly ? MAX_EARLY_STEP : MAX_STEP;
-        double step = Math.clamp(Math.log(figure) - mLog, -maxStep, maxStep);
+        double step = Math.clamp(Math.log(observation) - mLog, -maxStep, maxStep);
         double weight = Math.max(SMOOTHING, 1.0 / (mObservations + 1));
         boolean countsLess = step > 0 && !isEarly;
         mLog += (countsLess ? mRiseWeight : 1) * weight * step;
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/MemoryForecast.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/MemoryForecast.java
@@ -74,20 +74,22 @@
         return peak;
     }
 
-    private static double tokensAt(List<Sequence> sequences, double grownTokens) {
+    private static double tokensAt(List<Sequence> sequences, double additionalTokens) {
         double mean = 0;
         double variance = 0;
-        double most = 0;
+        double sum = 0;
         for (Sequence sequence : sequences) {
             double generated =
-                    Math.min(sequence.generatedTokens() + grownTokens, sequence.maxOutputTokens());
-            double survival = survival(sequence, sequence.generatedTokens() + grownTokens);
+                    Math.min(
+                            sequence.generatedTokens() + additionalTokens,
+                            sequence.maxOutputTokens());
+            double survival = survival(sequence, sequence.generatedTokens() + additionalTokens);
             double tokens = sequence.promptTokens() + generated;
-            most += survival > 0 ? tokens : 0;
+            sum += survival > 0 ? tokens : 0;
             mean += survival * tokens;
             variance += survival * (1 - survival) * tokens * tokens;
         }
-        return Math.min(most, mean + MARGIN_DEVIATIONS * Math.sqrt(variance));
+        return Math.min(sum, mean + MARGIN_DEVIATIONS * Math.sqrt(variance));
     }
 
     /** Returns the probability that a sequence reaches the given number of output tokens. */
@@ -101,10 +103,11 @@
         if (tokens >= sequence.maxOutputTokens()) {
             return 0;
         }
-        return longerThan(sequence, tokens) / longerThan(sequence, sequence.generatedTokens());
+        return probabilityLongerThan(sequence, tokens)
+                / probabilityLongerThan(sequence, sequence.generatedTokens());
     }
 
-    private static double longerThan(Sequence sequence, double tokens) {
+    private static double probabilityLongerThan(Sequence sequence, double tokens) {
         double deviations =
                 Math.log(Math.max(1, tokens) / Math.max(1, sequence.expectedTokens()))
                         / LENGTH_DEVIATION;
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/MemoryRule.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/MemoryRule.java
@@ -41,10 +41,10 @@
      * Window within which placements count as concurrent: longer than an announcement takes to
      * reach all instances, which is some 30 ms on the sites.
      */
-    private static final Duration TOGETHER = Duration.ofMillis(80);
+    private static final Duration CONCURRENCY_WINDOW = Duration.ofMillis(80);
 
     /** Output tokens reserved initially if the sequences of all instances are known. */
-    private static final int FIRST_OUTPUT_TOKENS = 256;
+    private static final int INITIAL_OUTPUT_TOKENS = 256;
 
     private MemoryRule() {}
 
@@ -82,8 +82,8 @@
      */
     public static long availableTokens(
             MemoryForecast.Sequence request, boolean isClientRetry, long memoryTokens) {
-        long forRetries = memoryTokens * CLIENT_RETRY_PERCENT / 100;
-        return isClientRetry && canEverFit(request, forRetries) ? forRetries : memoryTokens;
+        long retryTokens = memoryTokens * CLIENT_RETRY_PERCENT / 100;
+        return isClientRetry && canEverFit(request, retryTokens) ? retryTokens : memoryTokens;
     }
 
     /**
@@ -110,7 +110,7 @@
     public static int reservedTokens(
             int promptTokens, int maxOutputTokens, int likelyOutputTokens, boolean areAllKnown) {
         int outputTokens =
-                areAllKnown ? Math.min(FIRST_OUTPUT_TOKENS, maxOutputTokens) : likelyOutputTokens;
+                areAllKnown ? Math.min(INITIAL_OUTPUT_TOKENS, maxOutputTokens) : likelyOutputTokens;
         return promptTokens + outputTokens;
     }
 
@@ -125,7 +125,7 @@
      */
     public static boolean hasPrecedence(
             long otherNanos, String otherId, long ownNanos, String ownId) {
-        boolean together = otherNanos - ownNanos > -TOGETHER.toNanos();
-        return together ? otherId.compareTo(ownId) < 0 : !otherId.equals(ownId);
+        boolean concurrent = otherNanos - ownNanos > -CONCURRENCY_WINDOW.toNanos();
+        return concurrent ? otherId.compareTo(ownId) < 0 : !otherId.equals(ownId);
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/OutputLengthEstimator.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/OutputLengthEstimator.java
@@ -26,7 +26,7 @@
     private static final double SMOOTHING = 0.03;
 
     /** Output length assumed before any caller has stated an estimate. */
-    private static final double UNKNOWN_TOKENS = 1_000;
+    private static final double DEFAULT_TOKENS = 1_000;
 
     /** Lower bound of the estimate, unless the caller's limit is lower. */
     private static final int MIN_TOKENS = 64;
@@ -96,7 +96,7 @@
     }
 
     private synchronized double blended(Stated stated) {
-        double mean = mLogMean == 0 ? Math.log(UNKNOWN_TOKENS) : mLogMean;
+        double mean = mLogMean == 0 ? Math.log(DEFAULT_TOKENS) : mLogMean;
         double expected = stated.expectedTokens() > 0 ? Math.log(stated.expectedTokens()) : mean;
         return Math.exp(OWN_WEIGHT * expected + (1 - OWN_WEIGHT) * mean);
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/PrefillRule.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/PrefillRule.java
@@ -29,7 +29,7 @@
      * prefill engines count as busy. A prompt that is not delayed by a queue gains nothing by
      * waiting, however slow the engines are.
      */
-    private static final double QUEUED_FACTOR = 2;
+    private static final double BUSY_FACTOR = 2;
 
     /**
      * Fraction of its memory below which a decode engine has few streams that a prefill would
@@ -61,17 +61,17 @@
      *
      * @param prefillMillis expected completion time on the best prefill engine; empty if none
      *     accepts work
-     * @param ownMillis time that a prefill engine takes for this prompt without a queue
+     * @param unqueuedMillis time that a prefill engine takes for this prompt without a queue
      * @param targetMillis latency target for the first token
      * @return the choice
      */
     public static Choice choose(
-            OptionalDouble prefillMillis, double ownMillis, double targetMillis) {
+            OptionalDouble prefillMillis, double unqueuedMillis, double targetMillis) {
         double millis = prefillMillis.orElse(UpstreamHealth.EJECTED_MILLIS);
         if (millis >= UpstreamHealth.EJECTED_MILLIS) {
             return Choice.UNSPLIT;
         }
-        if (millis <= QUEUED_FACTOR * ownMillis) {
+        if (millis <= BUSY_FACTOR * unqueuedMillis) {
             return Choice.SPLIT;
         }
         if (millis > LATE_SHARE * targetMillis) {
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/PrefillTimeoutRule.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/PrefillTimeoutRule.java
@@ -14,7 +14,7 @@
  */
 public final class PrefillTimeoutRule {
     /** Factor by which an engine may exceed its expected time. */
-    private static final double SILENCE_FACTOR = 2;
+    private static final double TIMEOUT_FACTOR = 2;
 
     /**
      * Fraction of the latency target added to allow for short prompts and for pauses of the engine.
@@ -26,16 +26,16 @@
     /**
      * Returns the time after which a prefill engine that has not answered is given up.
      *
-     * @param ordinaryMillis time in which an engine of nominal speed would finish, including its
+     * @param nominalMillis time in which an engine of nominal speed would finish, including its
      *     backlog
      * @param target latency target for the first token
-     * @param left time until the deadline of the request
-     * @return the timeout, at most {@code left}
+     * @param remaining time until the deadline of the request
+     * @return the timeout, at most {@code remaining}
      */
-    public static Duration silenceLimit(double ordinaryMillis, Duration target, Duration left) {
-        long nanos = (long) Millis.toNanos(SILENCE_FACTOR * ordinaryMillis);
+    public static Duration silenceLimit(double nominalMillis, Duration target, Duration remaining) {
+        long nanos = (long) Millis.toNanos(TIMEOUT_FACTOR * nominalMillis);
         long marginNanos = (long) (MARGIN_SHARE * target.toNanos());
-        Duration limit = Duration.ofNanos(nanos + marginNanos);
-        return limit.compareTo(left) < 0 ? limit : left;
+        Duration timeout = Duration.ofNanos(nanos + marginNanos);
+        return timeout.compareTo(remaining) < 0 ? timeout : remaining;
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/RefusalBackoff.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/RefusalBackoff.java
@@ -13,12 +13,12 @@
  * attempt there costs a request one of its attempts and possibly a prefill. The back-off time
  * therefore doubles with each refusal after the previous back-off. Immutable.
  *
- * @param inARow consecutive refusals since the last success, each after the back-off of the one
- *     before
+ * @param consecutiveRefusals consecutive refusals since the last success, each after the back-off
+ *     of the one before
  * @param isBackingOff whether there was a refusal since the last success
  * @param untilNanos monotonic time at which the back-off ends
  */
-public record RefusalBackoff(int inARow, boolean isBackingOff, long untilNanos) {
+public record RefusalBackoff(int consecutiveRefusals, boolean isBackingOff, long untilNanos) {
     /** State of an upstream that has refused nothing. */
     public static final RefusalBackoff NONE = new RefusalBackoff(0, false, 0);
 
@@ -26,7 +26,7 @@
     private static final Duration FIRST = Duration.ofMillis(60);
 
     /** Number of consecutive refusals assumed before one that a lack of memory cannot explain. */
-    private static final int REFUSALS_DESPITE_ROOM = 2;
+    private static final int ASSUMED_REFUSALS = 2;
 
     /** Maximum number of doublings, so that a refusing upstream is tried every 1.92 s. */
     private static final int MAX_DOUBLINGS = 5;
@@ -42,8 +42,8 @@
         if (isRefusing(nowNanos)) {
             return this;
         }
-        long lengthNanos = FIRST.toNanos() << Math.min(MAX_DOUBLINGS, inARow);
-        return new RefusalBackoff(inARow + 1, true, nowNanos + lengthNanos);
+        long backoffNanos = FIRST.toNanos() << Math.min(MAX_DOUBLINGS, consecutiveRefusals);
+        return new RefusalBackoff(consecutiveRefusals + 1, true, nowNanos + backoffNanos);
     }
 
     /**
@@ -54,10 +54,9 @@
      * @return the updated state
      */
     public RefusalBackoff afterRefusalDespiteRoom(long nowNanos) {
-        boolean isFirst = inARow < REFUSALS_DESPITE_ROOM;
+        boolean isFirst = consecutiveRefusals < ASSUMED_REFUSALS;
         return isFirst
-                ? new RefusalBackoff(REFUSALS_DESPITE_ROOM, false, untilNanos)
-                        .afterRefusal(nowNanos)
+                ? new RefusalBackoff(ASSUMED_REFUSALS, false, untilNanos).afterRefusal(nowNanos)
                 : afterRefusal(nowNanos);
     }
 
@@ -69,7 +68,7 @@
      * @return true if the upstream must receive no work now
      */
     public boolean isPersistent(long nowNanos) {
-        return inARow > 1 && isRefusing(nowNanos);
+        return consecutiveRefusals > 1 && isRefusing(nowNanos);
     }
 
     /**
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/RetryAfter.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/RetryAfter.java
@@ -32,7 +32,7 @@
     private static final Duration PLAIN_SERVICE = Duration.ofMillis(200);
 
     /** Multiple of the mean output duration after which most outputs in progress have ended. */
-    private static final double MOST_ENDED_FACTOR = 1.2;
+    private static final double OUTPUTS_ENDED_FACTOR = 1.2;
 
     /**
      * Fraction of the mean output duration over which retries are spread at random, so that callers
@@ -73,8 +73,8 @@
      * @return time after which the caller should retry, at least {@code untilRoom}
      */
     public static Duration limit(Duration untilRoom, RandomGenerator random) {
-        double share = 1 + LIMIT_SPREAD_SHARE * random.nextDouble();
-        return Duration.ofNanos((long) (share * untilRoom.toNanos()));
+        double factor = 1 + LIMIT_SPREAD_SHARE * random.nextDouble();
+        return Duration.ofNanos((long) (factor * untilRoom.toNanos()));
     }
 
     /**
@@ -84,8 +84,8 @@
      * @return time after which the caller should retry
      */
     public static Duration noLimitOwner(RandomGenerator random) {
-        double share = 1 + SPREAD_SHARE * random.nextDouble();
-        return Duration.ofNanos((long) (share * NO_LIMIT_OWNER.toNanos()));
+        double factor = 1 + SPREAD_SHARE * random.nextDouble();
+        return Duration.ofNanos((long) (factor * NO_LIMIT_OWNER.toNanos()));
     }
 
     /**
@@ -98,7 +98,7 @@
      */
     public static Duration engines(EnginePace pace, RandomGenerator random) {
         double millis =
-                pace.outputMillis() * (MOST_ENDED_FACTOR + SPREAD_SHARE * random.nextDouble());
+                pace.outputMillis() * (OUTPUTS_ENDED_FACTOR + SPREAD_SHARE * random.nextDouble());
         return Duration.ofNanos((long) Millis.toNanos(millis));
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/UpstreamCost.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/UpstreamCost.java
@@ -17,7 +17,7 @@
      * Fraction of the work by which the cost is varied at random, so that instances with the same
      * data do not all choose the same upstream.
      */
-    private static final double TIE_SHARE = 0.1;
+    private static final double RANDOM_SHARE = 0.1;
 
     /** Work that a plain request counts as, in milliseconds. */
     public static final double PLAIN_REQUEST_MILLIS = 70;
@@ -74,6 +74,6 @@
      */
     public static double millis(
             double expectedMillis, double workMillis, double zoneMillis, double draw) {
-        return expectedMillis + zoneMillis + draw * workMillis * TIE_SHARE;
+        return expectedMillis + zoneMillis + draw * workMillis * RANDOM_SHARE;
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/UpstreamHealth.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/UpstreamHealth.java
@@ -111,14 +111,14 @@
     /**
      * Estimates when the upstream completes a piece of work.
      *
-     * @param ordinaryMillis completion time at nominal speed
+     * @param nominalMillis completion time at nominal speed
      * @param unobserved slowness of an upstream without recent observations
      * @param nowNanos current monotonic time
      * @return milliseconds from now
      */
-    public double expectedMillis(double ordinaryMillis, double unobserved, long nowNanos) {
+    public double expectedMillis(double nominalMillis, double unobserved, long nowNanos) {
         double factor = slowness.at(nowNanos, unobserved);
-        double millis = ordinaryMillis * factor + failures.millis(nowNanos);
+        double millis = nominalMillis * factor + failures.millis(nowNanos);
         if (refusals.isRefusing(nowNanos)) {
             millis += REFUSING_MILLIS;
         }
