--- a/org.orchidmount/src/main/java/org/orchidmount/load/EngineLoads.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/load/EngineLoads.java
@@ -30,7 +30,7 @@
  *
  * <ul>
  *   <li>A sequence counts until its end is announced, its engine registers a new incarnation, or no
- *       announcement of it has arrived for {@link #EXPIRY}.
+ *       announcement of it has arrived for 5 s.
  *   <li>Once a sequence has ended, an older announcement that arrives late over another path does
  *       not revive it.
  *   <li>If the incarnation of an engine is recorded, announcements for earlier incarnations never
@@ -42,8 +42,8 @@
  */
 public final class EngineLoads {
     /**
-     * Three missed announcements: the instance that announced the sequence is assumed to have
-     * stopped.
+     * Time without an announcement after which a sequence is dropped, which is three missed
+     * announcements: the instance that announced the sequence is assumed to have stopped.
      */
     private static final Duration EXPIRY = Duration.ofSeconds(5);
 
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/AttemptRule.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/AttemptRule.java
@@ -21,8 +21,8 @@
     private static final int MAX_ATTEMPTS = 4;
 
     /**
-     * Multiple of the latency target that an upstream may remain silent if another one may be
-     * tried.
+     * Time that an upstream may remain silent if another one may be tried, as a multiple of the
+     * latency target.
      */
     private static final double TIMEOUT_FACTOR = 1.3;
 
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/ClientRetryDetector.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/ClientRetryDetector.java
@@ -37,8 +37,8 @@
     private static final double UPPER_QUANTILE = 0.95;
 
     /**
-     * Retention of an initial timeout. It is far longer than any caller's timeout, and it keeps one
-     * caller with a long timeout from turning all later requests into retries.
+     * Retention of an initial timeout. It is far longer than any caller's timeout, and its limit
+     * keeps one caller with a long timeout from turning all later requests into retries.
      */
     private static final Duration RETENTION = Duration.ofMinutes(10);
 
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/EnginePaceEstimator.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/EnginePaceEstimator.java
@@ -11,9 +11,9 @@
  *
  * <p>The estimate starts from a prior that counts as one observation; some 15 observations are
  * remembered. The values are means over all engines of the service. A few slow engines hardly
- * change them and are reflected in {@link Slowness} instead. Sequences queued on an engine whose
- * announcements are not known here make a prefill appear slower than it is, but never faster, so
- * slow prefills are given less weight. Thread-safe.
+ * change them and are reflected in {@link Slowness} instead. Sequences that are queued on an engine
+ * but not known here make a prefill appear slower than it is, but never faster, so slow prefills
+ * are given less weight. Thread-safe.
  */
 public final class EnginePaceEstimator {
     /** Prior for the prefill time per prompt token, in milliseconds: 50 tokens per ms. */
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/MemoryRule.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/MemoryRule.java
@@ -33,7 +33,7 @@
 
     /**
      * Percent of the memory below which a placement is not checked again, because concurrent
-     * placements cannot exhaust the memory there.
+     * placements do no harm there.
      */
     private static final int ROOMY_PERCENT = 50;
 
