--- a/org.orchidmount/src/main/java/org/orchidmount/load/EngineLoads.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/load/EngineLoads.java
@@ -23,123 +23,145 @@
 import org.orchidmount.routing.MemoryRule;
 
 /**
- * What this instance knows of the sequences in flight at engines, its own and those of the others.
+ * Tracks the sequences in flight at engines, both those placed by this instance and those announced
+ * by others.
  *
- * <p>It keeps the facts; {@link MemoryRule} decides by them. Invariants: a sequence counts until
- * its end is announced, its engine starts again, or nothing is received of it for a while; once it
- * has ended, an older announcement that took another way does not bring it back. Of an engine whose
- * start is known, announcements of an earlier start never count. One that states no start, as from
- * an instance that knows none, counts unless the engine has started again since the sequence was
- * first received. Thread-safe.
+ * <p>This class only keeps the data; {@link MemoryRule} makes the decisions. Invariants:
+ *
+ * <ul>
+ *   <li>A sequence counts until its end is announced, its engine registers a new incarnation, or no
+ *       announcement of it has arrived for 5 s.
+ *   <li>Once a sequence has ended, an older announcement that arrives late over another path does
+ *       not revive it.
+ *   <li>If the incarnation of an engine is recorded, announcements for earlier incarnations never
+ *       count. An announcement that states no incarnation, as from an instance that does not know
+ *       it, counts unless the engine has restarted since the sequence was first received.
+ * </ul>
+ *
+ * <p>Thread-safe.
  */
 public final class EngineLoads {
-    /** Three announcements missed: a sequence so silent has ended with its instance. */
-    private static final Duration FORGET_AFTER = Duration.ofSeconds(5);
+    /**
+     * Time without an announcement after which a sequence is dropped, which is three missed
+     * announcements: the instance that announced the sequence is assumed to have stopped.
+     */
+    private static final Duration EXPIRY = Duration.ofSeconds(5);
 
-    /** Engines beyond which the starts of those without sequences are forgotten. */
-    private static final int FORGET_STARTS_COUNT = 4_096;
+    /** Number of engines above which the incarnations of engines without sequences are dropped. */
+    private static final int MAX_INCARNATIONS = 4_096;
 
     private final OrderedLock mLock = new OrderedLock(LockRank.LOADS);
     private final MonotonicClock mClock;
-    private final Map<String, Map<String, Known>> mSequences = new HashMap<>();
+    private final Map<String, Map<String, Announcement>> mSequences = new HashMap<>();
 
-    /** The registered start of each engine that has stated one. */
-    private final Map<String, Incarnation> mStarted = new HashMap<>();
+    /** Registered incarnation of each engine that has stated one, by engine id. */
+    private final Map<String, Incarnation> mIncarnations = new HashMap<>();
 
     /**
-     * A sequence as it was last announced.
+     * The latest announcement of a sequence.
      *
      * @param sequence the sequence
-     * @param sinceNanos when it was first received
-     * @param updatedNanos when it was last received
+     * @param firstReceivedNanos monotonic time of its first announcement
+     * @param lastReceivedNanos monotonic time of its latest announcement
      */
-    private record Known(InFlightSequence sequence, long sinceNanos, long updatedNanos) {
-        boolean isWithoutStart() {
+    private record Announcement(
+            InFlightSequence sequence, long firstReceivedNanos, long lastReceivedNanos) {
+        boolean isWithoutIncarnation() {
             return !sequence.engine().isStartStated();
         }
 
-        Known asEnded() {
-            return new Known(sequence.asEnded(), sinceNanos, updatedNanos);
+        Announcement asEnded() {
+            return new Announcement(sequence.asEnded(), firstReceivedNanos, lastReceivedNanos);
         }
 
-        Known followedBy(Known next) {
+        Announcement mergedWith(Announcement next) {
             if (sequence.ended()) {
-                // Announced once more: it is remembered as ended for as long as that goes on.
-                return new Known(sequence, sinceNanos, next.updatedNanos);
+                // A repeated announcement keeps the ended sequence from expiring.
+                return new Announcement(sequence, firstReceivedNanos, next.lastReceivedNanos);
             }
-            return isFollowedBy(next) ? next.since(this) : this;
+            return isSupersededBy(next) ? next.withFirstReceivedOf(this) : this;
         }
 
-        private boolean isFollowedBy(Known next) {
+        private boolean isSupersededBy(Announcement next) {
             boolean older =
                     next.sequence.generatedTokens() < sequence.generatedTokens()
                             && !next.sequence.ended();
             return !older;
         }
 
-        private Known since(Known before) {
-            return new Known(sequence, before.sinceNanos, updatedNanos);
+        private Announcement withFirstReceivedOf(Announcement before) {
+            return new Announcement(sequence, before.firstReceivedNanos, lastReceivedNanos);
         }
     }
 
     /**
-     * Creates an empty view.
+     * Creates a tracker without sequences.
      *
-     * @param clock the clock
+     * @param clock source of the times of announcements
      */
     public EngineLoads(MonotonicClock clock) {
         mClock = clock;
     }
 
     /**
-     * Takes which start of an engine is registered now. What was given to it before another start
-     * that was registered has ended. Announcements do not tell: they may be of a start that has
-     * been given up.
+     * Records the registered incarnation of an engine. Sequences placed on an earlier registered
+     * incarnation have ended.
+     *
+     * <p>Only registrations update the incarnation, never announcements, which may refer to an
+     * incarnation that no longer exists.
      *
-     * @param engine the engine
+     * @param engine the engine with its incarnation; one that states no incarnation clears the
+     *     recorded one
      */
     public void registered(Incarnation engine) {
         try (OrderedLock.Held _ = mLock.hold()) {
-            if (mStarted.size() > FORGET_STARTS_COUNT) {
-                mStarted.keySet().retainAll(mSequences.keySet());
+            if (mIncarnations.size() > MAX_INCARNATIONS) {
+                mIncarnations.keySet().retainAll(mSequences.keySet());
             }
             if (!engine.isStartStated()) {
-                mStarted.remove(engine.id());
+                mIncarnations.remove(engine.id());
                 return;
             }
-            Incarnation before = mStarted.put(engine.id(), engine);
-            endStatedBefore(engine);
+            Incarnation before = mIncarnations.put(engine.id(), engine);
+            removeEarlierIncarnations(engine);
             if (before != null && !before.equals(engine)) {
-                endUnstated(engine);
+                endWithoutIncarnation(engine);
             }
         }
     }
 
-    private void endStatedBefore(Incarnation engine) {
-        Map<String, Known> atEngine = mSequences.getOrDefault(engine.id(), new HashMap<>());
+    private void removeEarlierIncarnations(Incarnation engine) {
+        Map<String, Announcement> atEngine = mSequences.getOrDefault(engine.id(), new HashMap<>());
         atEngine.values().removeIf(old -> engine.provesEndOf(old.sequence().engine()));
     }
 
-    /** Those without a start may be announced again as such, so they are kept as ended. */
-    private void endUnstated(Incarnation engine) {
-        Map<String, Known> atEngine = mSequences.getOrDefault(engine.id(), new HashMap<>());
-        atEngine.replaceAll((id, old) -> old.isWithoutStart() ? old.asEnded() : old);
+    /**
+     * Marks the sequences without an incarnation as ended. They are kept, because later
+     * announcements of them may state no incarnation either and must not revive them.
+     */
+    private void endWithoutIncarnation(Incarnation engine) {
+        Map<String, Announcement> atEngine = mSequences.getOrDefault(engine.id(), new HashMap<>());
+        atEngine.replaceAll((id, old) -> old.isWithoutIncarnation() ? old.asEnded() : old);
     }
 
-    /** Tells whether the engine of a sequence has started again since. */
-    private boolean isOfEarlierStart(InFlightSequence sequence) {
-        Incarnation registered = mStarted.get(sequence.upstreamId());
+    /**
+     * Returns whether the engine has registered a newer incarnation than the one that the sequence
+     * was placed on.
+     */
+    private boolean isOfEarlierIncarnation(InFlightSequence sequence) {
+        Incarnation registered = mIncarnations.get(sequence.upstreamId());
         return registered != null && registered.provesEndOf(sequence.engine());
     }
 
     /**
-     * Takes what was announced of a sequence.
+     * Applies an announcement of a sequence. Announcements for an earlier incarnation of the engine
+     * are ignored.
      *
-     * @param sequence the sequence
+     * @param sequence the announced state
      */
     public void update(InFlightSequence sequence) {
         try (OrderedLock.Held _ = mLock.hold()) {
-            if (isOfEarlierStart(sequence)) {
+            if (isOfEarlierIncarnation(sequence)) {
                 return;
             }
             long nowNanos = mClock.nanoTime();
@@ -147,28 +169,28 @@
                     .computeIfAbsent(sequence.upstreamId(), id -> new HashMap<>())
                     .merge(
                             sequence.id(),
-                            new Known(sequence, nowNanos, nowNanos),
-                            Known::followedBy);
+                            new Announcement(sequence, nowNanos, nowNanos),
+                            Announcement::mergedWith);
         }
     }
 
     /**
-     * Names the engines whose memory has no room for one more sequence.
+     * Returns the engines whose memory has no room for one more sequence.
      *
-     * @param candidate the sequence; its engine does not count
-     * @param memoryTokens the memory of each engine
-     * @param pace how fast the engines are
-     * @return their identities; an engine of which nothing is known is not among them
+     * @param candidate the sequence to place; its engine is ignored
+     * @param memoryTokens KV cache memory of each engine, in tokens
+     * @param pace measured speed of the engines
+     * @return ids of the full engines; an engine without sequences is never included
      */
     public Set<String> saturatedEngines(
             InFlightSequence candidate, long memoryTokens, EnginePace pace) {
         try (OrderedLock.Held _ = mLock.hold()) {
             long nowNanos = mClock.nanoTime();
-            forgetOld(nowNanos);
+            removeExpired(nowNanos);
             Set<String> saturated = new HashSet<>();
             mSequences.forEach(
-                    (upstreamId, known) -> {
-                        if (!fits(known, candidate, memoryTokens, pace, nowNanos)) {
+                    (upstreamId, atEngine) -> {
+                        if (!fits(atEngine, candidate, memoryTokens, pace, nowNanos)) {
                             saturated.add(upstreamId);
                         }
                     });
@@ -177,15 +199,15 @@
     }
 
     /**
-     * Returns how much an engine has yet to prefill.
+     * Returns the prefill backlog of an engine.
      *
-     * @param upstreamId its identity
-     * @return the tokens of all prompts that it was given and has not prefilled
+     * @param upstreamId the engine's id
+     * @return prompt tokens placed on the engine and not yet prefilled
      */
     public int prefillBacklogTokens(String upstreamId) {
         try (OrderedLock.Held _ = mLock.hold()) {
             return inFlight(upstreamId)
-                    .map(Known::sequence)
+                    .map(Announcement::sequence)
                     .filter(InFlightSequence::isPrefill)
                     .mapToInt(InFlightSequence::promptTokens)
                     .sum();
@@ -193,10 +215,10 @@
     }
 
     /**
-     * Estimates how much memory the sequences of an engine use now.
+     * Estimates the KV cache memory that the sequences of an engine use now.
      *
-     * @param upstreamId its identity
-     * @param pace how fast the engines are
+     * @param upstreamId the engine's id
+     * @param pace measured speed of the engines
      * @return tokens
      */
     public double usedMemoryTokens(String upstreamId, EnginePace pace) {
@@ -204,89 +226,100 @@
             long nowNanos = mClock.nanoTime();
             return inFlight(upstreamId)
                     .mapToDouble(
-                            known ->
-                                    known.sequence().promptTokens()
-                                            + generatedTokens(known, pace, nowNanos))
+                            announcement ->
+                                    announcement.sequence().promptTokens()
+                                            + generatedTokens(announcement, pace, nowNanos))
                     .sum();
         }
     }
 
     /**
-     * Names the sequences that an engine works on, for logs.
+     * Returns the sequences in flight at an engine, for logs.
      *
-     * @param upstreamId its identity
-     * @return the identities of their placements
+     * @param upstreamId the engine's id
+     * @return sequence ids, sorted
      */
     public List<String> sequencesAt(String upstreamId) {
         try (OrderedLock.Held _ = mLock.hold()) {
-            return inFlight(upstreamId).map(known -> known.sequence().id()).sorted().toList();
+            return inFlight(upstreamId)
+                    .map(announcement -> announcement.sequence().id())
+                    .sorted()
+                    .toList();
         }
     }
 
-    private Stream<Known> inFlight(String upstreamId) {
+    private Stream<Announcement> inFlight(String upstreamId) {
         return mSequences.getOrDefault(upstreamId, Map.of()).values().stream()
-                .filter(known -> !known.sequence().ended());
+                .filter(announcement -> !announcement.sequence().ended());
     }
 
     /**
-     * Tells whether a sequence that was just announced keeps its place, where several instances may
-     * have chosen the engine at the same moment.
+     * Returns whether a sequence keeps its placement. Several instances may have chosen the same
+     * engine at the same moment, so the placement is checked again once it has been announced.
      *
-     * @param sequence the sequence, which is known here
-     * @param memoryTokens the memory of the engine
-     * @param pace how fast the engines are
-     * @return false if it has to go elsewhere, also because the engine has started again
+     * @param sequence the announced sequence
+     * @param memoryTokens KV cache memory of the engine, in tokens
+     * @param pace measured speed of the engines
+     * @return false if the sequence must be placed on another engine, because it does not fit or
+     *     because the engine has restarted
      */
     public boolean keepsPlace(InFlightSequence sequence, long memoryTokens, EnginePace pace) {
         try (OrderedLock.Held _ = mLock.hold()) {
-            if (isOfEarlierStart(sequence)) {
+            if (isOfEarlierIncarnation(sequence)) {
                 return false;
             }
-            Map<String, Known> atEngine = mSequences.getOrDefault(sequence.upstreamId(), Map.of());
-            Known own = atEngine.get(sequence.id());
+            Map<String, Announcement> atEngine =
+                    mSequences.getOrDefault(sequence.upstreamId(), Map.of());
+            Announcement own = atEngine.get(sequence.id());
             if (own == null) {
                 return true;
             }
-            Map<String, Known> before = new HashMap<>(atEngine);
+            Map<String, Announcement> before = new HashMap<>(atEngine);
             before.values().removeIf(other -> !hasPrecedence(other, own));
             return fits(before, sequence, memoryTokens, pace, mClock.nanoTime());
         }
     }
 
-    private static boolean hasPrecedence(Known other, Known own) {
+    private static boolean hasPrecedence(Announcement other, Announcement own) {
         return MemoryRule.hasPrecedence(
-                other.sinceNanos(), other.sequence().id(), own.sinceNanos(), own.sequence().id());
+                other.firstReceivedNanos(),
+                other.sequence().id(),
+                own.firstReceivedNanos(),
+                own.sequence().id());
     }
 
     private boolean fits(
-            Map<String, Known> atEngine,
+            Map<String, Announcement> atEngine,
             InFlightSequence candidate,
             long memoryTokens,
             EnginePace pace,
             long nowNanos) {
         List<MemoryForecast.Sequence> sequences = new ArrayList<>(atEngine.size() + 1);
         sequences.add(candidate.forecastInput(0));
-        for (Known known : atEngine.values()) {
-            if (!known.sequence().ended()) {
-                double tokens = generatedTokens(known, pace, nowNanos);
-                sequences.add(known.sequence().forecastInput(tokens));
+        for (Announcement announcement : atEngine.values()) {
+            if (!announcement.sequence().ended()) {
+                double tokens = generatedTokens(announcement, pace, nowNanos);
+                sequences.add(announcement.sequence().forecastInput(tokens));
             }
         }
         return MemoryRule.fits(sequences, memoryTokens);
     }
 
-    /** Extrapolates what a sequence has generated since it was last announced. */
-    private static double generatedTokens(Known known, EnginePace pace, long nowNanos) {
-        double sinceMillis = Millis.ofNanos(nowNanos - known.updatedNanos());
-        boolean begun = known.sequence().generatedTokens() > 0;
+    /** Extrapolates the number of generated tokens from the latest announcement. */
+    private static double generatedTokens(
+            Announcement announcement, EnginePace pace, long nowNanos) {
+        double sinceMillis = Millis.ofNanos(nowNanos - announcement.lastReceivedNanos());
+        boolean begun = announcement.sequence().generatedTokens() > 0;
         double growingMillis =
                 begun ? sinceMillis : Math.max(0, sinceMillis - pace.firstTokenMillis());
-        return known.sequence().generatedTokens() + growingMillis * pace.outputTokensPerMilli();
+        return announcement.sequence().generatedTokens()
+                + growingMillis * pace.outputTokensPerMilli();
     }
 
-    private void forgetOld(long nowNanos) {
-        for (Map<String, Known> known : mSequences.values()) {
-            known.values().removeIf(old -> nowNanos - old.updatedNanos() > FORGET_AFTER.toNanos());
+    private void removeExpired(long nowNanos) {
+        for (Map<String, Announcement> atEngine : mSequences.values()) {
+            atEngine.values()
+                    .removeIf(old -> nowNanos - old.lastReceivedNanos() > EXPIRY.toNanos());
         }
         mSequences.values().removeIf(Map::isEmpty);
     }
