--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/Capability.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/Capability.java
@@ -9,28 +9,33 @@
 import java.util.Set;
 
 /**
- * What an instance understands beyond the first form of the protocol. Each instance tells its own
- * in its greeting, and is sent only what it understands, so that instances of several builds work
- * side by side. Those that an instance does not know are passed over.
+ * An optional feature of the cluster protocol that an instance supports beyond the base protocol.
+ *
+ * <p>Each instance lists its capabilities in its greeting and is sent only messages that it
+ * supports, so that instances of different builds interoperate. Unknown bits are ignored.
  */
 enum Capability {
-    /** Takes crash records. Where one does not, it runs requests that others refuse. */
+    /**
+     * Accepts crash records. An instance without it runs requests that others refuse as
+     * quarantined.
+     */
     CRASH_RECORDS(1),
 
     /**
-     * Takes limits of upstreams, and as a voter counts what is sent to these. Where a voter does
-     * not, each entry keeps to an equal part of a limit; where an entry does not, it keeps to none.
+     * Accepts the rate limits that upstreams state, and as a voter counts the requests sent to
+     * them. With a voter that does not support it, each entry keeps to an equal share of a limit;
+     * an entry that does not support it keeps to none.
      */
     UPSTREAM_LIMITS(2);
 
     private final int mBit;
 
-    /** Creates it with a power of two, which is part of the protocol. */
+    /** Creates a capability with its bit, a power of two that is part of the protocol. */
     Capability(int bit) {
         mBit = bit;
     }
 
-    /** Returns all that this build understands. */
+    /** Returns the capabilities of this build. */
     static Set<Capability> own() {
         return EnumSet.allOf(Capability.class);
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/ClusterCodec.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/ClusterCodec.java
@@ -53,20 +53,23 @@
 import org.orchidmount.quota.QuotaLimit;
 
 /**
- * Writes and reads messages and the durable state as MessagePack: a type number, then the fields in
- * order. The most frequent messages are looked for first. Stateless and thread-safe.
+ * Encodes and decodes cluster messages and the durable state as MessagePack: a type number,
+ * followed by the fields in order. The most frequent types are tested first. Stateless and
+ * thread-safe.
  */
 final class ClusterCodec {
-    /** The longest list in a frame; the target has some 8,000 upstreams. */
+    /**
+     * Largest number of elements of a list in a frame; the target deployment has some 8,000
+     * upstreams.
+     */
     private static final int MAX_LIST = 100_000;
 
-    /** The largest table document, inflated. */
+    /** Largest route table document after decompression. */
     private static final int MAX_DOCUMENT_BYTES = 64 * 1024 * 1024;
 
-    /** Bytes inflated at a time. */
     private static final int INFLATE_STEP_BYTES = 16 * 1024;
 
-    /** The types of frames; their numbers are part of the protocol. */
+    /** Type numbers of frames, part of the protocol. */
     private static final int GREETING = 1;
 
     private static final int KEEP_ALIVE = 2;
@@ -83,7 +86,7 @@
     private static final int CRASH_RECORDS = 13;
     private static final int UPSTREAM_LIMITS = 14;
 
-    /** The types of frames of the consensus. */
+    /** Type numbers of consensus frames, part of the protocol. */
     private static final int VOTE_REQUEST = 20;
 
     private static final int VOTE_REPLY = 21;
@@ -107,11 +110,11 @@
     }
 
     /**
-     * Reads a message. Of a list, the entries that cannot be used are left out.
+     * Decodes a message. Unusable elements of a list are skipped.
      *
      * @param frame the encoded message
-     * @param refusals takes a message for each entry that is left out
-     * @throws IOException if the frame cannot be read
+     * @param refusals receives a description of each skipped element
+     * @throws IOException if the frame cannot be decoded
      */
     static ClusterMessage decode(byte[] frame, Consumer<String> refusals) throws IOException {
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(frame)) {
@@ -320,7 +323,10 @@
         return usable;
     }
 
-    /** What was added later stands last; instances that do not send it are linked all the same. */
+    /**
+     * Reads a greeting. Fields added by later builds come last and are optional, so that greetings
+     * of earlier builds remain valid.
+     */
     private static Greeting readGreeting(MessageUnpacker in) throws IOException {
         int protocol = in.unpackInt();
         String node = in.unpackString();
@@ -428,7 +434,10 @@
         out.packInt(registration.state().ordinal()).packLong(registration.sequence());
     }
 
-    /** Its stage or state is null if an instance of another version has sent one unknown here. */
+    /**
+     * Reads a registration. Its stage or state is null if a peer of another version sent a value
+     * that is unknown here.
+     */
     private static Registration readRegistration(MessageUnpacker in) throws IOException {
         return new Registration(
                 in.unpackString(),
@@ -442,8 +451,9 @@
     }
 
     /**
-     * Writes the starts of upstreams, which come last in a frame: an instance that does not know
-     * starts reads the frame all the same and leaves them out. A frame without any ends before.
+     * Writes the start times of upstreams at the end of a frame, so that a peer that does not know
+     * this field can still read the frame and ignores it. Writes nothing if no start time is
+     * stated.
      */
     private static void writeStarts(MessageBufferPacker out, List<Incarnation> incarnations)
             throws IOException {
@@ -460,7 +470,10 @@
         }
     }
 
-    /** Reads the starts of as many upstreams as a frame has named; none if it ends before. */
+    /**
+     * Reads the start times of the given number of upstreams; returns an empty list if the frame
+     * has no such field.
+     */
     private static List<OptionalLong> readStarts(MessageUnpacker in, int upstreams)
             throws IOException {
         if (!in.hasNext()) {
@@ -540,7 +553,10 @@
         return size;
     }
 
-    /** Documents are compressed: they are text, and links between zones are dear. */
+    /**
+     * Writes a compressed document: documents are text, and traffic between availability zones is
+     * expensive.
+     */
     private static void writeDocument(MessageBufferPacker out, byte[] document) throws IOException {
         Deflater deflater = new Deflater(Deflater.BEST_SPEED);
         try {
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/ClusterMessage.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/ClusterMessage.java
@@ -17,21 +17,21 @@
 import org.orchidmount.quota.QuotaAsk;
 
 /**
- * What instances say to each other.
+ * A message between instances.
  *
- * <p>Receivers tell messages apart by {@code instanceof} and not by a switch over patterns: the
- * first such switch that a process runs is linked at run time, by code that writes a class, and the
- * first messages come while an instance starts. Immutable.
+ * <p>Receivers distinguish messages by {@code instanceof} rather than by a pattern switch: the
+ * first pattern switch executed in a process is linked at run time by generating a class, which
+ * would delay the first messages, received while an instance starts. Immutable.
  */
 sealed interface ClusterMessage {
     /**
-     * Opens a link in each direction.
+     * First message on a link, sent by both sides.
      *
-     * @param protocol the version of the protocol
-     * @param node the sender's name
-     * @param zone the sender's availability zone; empty if it does not say
-     * @param voter the sender as a replica, or null if it is an entry
-     * @param capabilities what the sender understands
+     * @param protocol the protocol version
+     * @param node the sender's instance name
+     * @param zone the sender's availability zone; empty if not stated
+     * @param voter the sender as a replica; null if it is an entry
+     * @param capabilities the capabilities that the sender supports
      */
     record Greeting(
             int protocol, String node, String zone, Member voter, Set<Capability> capabilities)
@@ -40,19 +40,19 @@
             capabilities = Set.copyOf(capabilities);
         }
 
-        /** Creates the greeting of an instance that tells no capabilities. */
+        /** Creates a greeting without capabilities. */
         Greeting(int protocol, String node, String zone, Member voter) {
             this(protocol, node, zone, voter, Set.of());
         }
 
-        /** Tells whether the sender understands something. */
+        /** Returns whether the sender supports a capability. */
         boolean knows(Capability capability) {
             return capabilities.contains(capability);
         }
     }
 
     /**
-     * Carries what is known of requests that crash upstreams.
+     * Crash records, which count the crashes that requests have caused at upstreams.
      *
      * @param records the records
      */
@@ -63,9 +63,9 @@
     }
 
     /**
-     * Carries what is known of limits that upstreams state.
+     * Rate limits stated by upstreams.
      *
-     * @param limits the limits, those that have ended too
+     * @param limits the limits, including those no longer in force
      */
     record UpstreamLimitRecords(List<UpstreamLimit> limits) implements ClusterMessage {
         public UpstreamLimitRecords {
@@ -73,18 +73,18 @@
         }
     }
 
-    /** Shows that the sender lives. */
+    /** Keep-alive, sent on an otherwise idle link. */
     record KeepAlive() implements ClusterMessage {}
 
     /**
-     * Carries a message of the agreement.
+     * Envelope of a consensus message.
      *
-     * @param sender where answers go
-     * @param message the message
+     * @param sender the replica to which replies are sent
+     * @param message the consensus message
      */
     record Replication(Member sender, ReplicaMessage message) implements ClusterMessage {}
 
-    /** Names the voters, and the replicas that may become voters. */
+    /** Lists the voters and the replicas that may become voters. */
     record Voters(List<Member> members) implements ClusterMessage {
         public Voters {
             members = List.copyOf(members);
@@ -92,25 +92,25 @@
     }
 
     /**
-     * Tells an entry which table is committed.
+     * Announces the version of the committed route table to an entry.
      *
-     * @param version the table's version, 0 for none
-     * @param inTouch whether the sender is in touch with a quorum
-     * @param entries how many entries the sender serves
+     * @param version the table's version, 0 if there is none
+     * @param inTouch whether the sender has contact with a quorum
+     * @param entries the number of entries linked to the sender
      */
     record TableNotice(long version, boolean inTouch, int entries) implements ClusterMessage {}
 
-    /** Asks for the committed table. */
+    /** Request for the committed route table. */
     record TableRequest() implements ClusterMessage {}
 
-    /** Carries a committed table. */
+    /** The committed route table. */
     record TableDocument(long version, byte[] document) implements ClusterMessage {}
 
     /**
-     * Carries registrations.
+     * Registrations of upstreams.
      *
-     * @param number for departures that the sender has just received, echoed once the receiver
-     *     holds them; 0 for what it knows, to which no answer is wanted
+     * @param number for departures that the sender has just received, an identifier that the
+     *     receiver echoes once it holds them; 0 for known registrations, which are not acknowledged
      * @param registrations the registrations
      */
     record Registrations(long number, List<Registration> registrations) implements ClusterMessage {
@@ -118,16 +118,19 @@
             registrations = List.copyOf(registrations);
         }
 
-        /** Tells whether the sender has just received that these upstreams leave. */
+        /**
+         * Returns whether these are departures that the sender has just received and that must be
+         * acknowledged.
+         */
         boolean isDeparture() {
             return number != 0;
         }
     }
 
     /**
-     * Announces what instances have given to engines.
+     * Progress of sequences that instances have sent to engines.
      *
-     * @param sequences the sequences, in the order of the announcements
+     * @param sequences the sequences, in the order of their announcement
      */
     record InFlightSequences(List<InFlightSequence> sequences) implements ClusterMessage {
         public InFlightSequences {
@@ -135,33 +138,34 @@
         }
     }
 
-    /** Answers {@link Registrations}. */
+    /** Acknowledges the departures of a {@link Registrations} message. */
     record RegistrationsHeld(long number) implements ClusterMessage {}
 
     /**
-     * Asks the owner of the buckets for units of a limit.
+     * Requests units of a limit from the owner of the token buckets.
      *
-     * @param number echoed by the answer
-     * @param ask what is to be used
-     * @param isOwnerSilent whether the owner does not answer, so that others may grant it
+     * @param number identifier echoed by the reply
+     * @param ask the key, its limit and the units requested
+     * @param isOwnerSilent whether the owner does not respond, so that another voter may grant
+     *     units from its reserve
      */
     record QuotaRequest(long number, QuotaAsk ask, boolean isOwnerSilent)
             implements ClusterMessage {}
 
     /**
-     * Answers {@link QuotaRequest}.
+     * Reply to a {@link QuotaRequest}.
      *
      * @param number the number of the request
-     * @param answer the answer
-     * @param owner the cluster address of the owner as the sender knows it; empty if it knows none
+     * @param answer the outcome
+     * @param owner the owner's cluster address as known to the sender; empty if unknown
      */
     record QuotaReply(long number, QuotaAnswer answer, String owner) implements ClusterMessage {}
 
     /**
-     * Gives units back that were granted and not used.
+     * Returns units that were granted but not used.
      *
-     * @param key what is limited
-     * @param units how many
+     * @param key the limited key
+     * @param units the number of units
      */
     record QuotaReturn(String key, long units) implements ClusterMessage {}
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/CrashRecordCodec.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/CrashRecordCodec.java
@@ -15,7 +15,7 @@
 import org.orchidmount.quarantine.CrashRecord;
 import org.orchidmount.quarantine.RequestFingerprint;
 
-/** Writes and reads crash records, in frames and in files. Stateless and thread-safe. */
+/** Encodes and decodes crash records for frames and files. Stateless and thread-safe. */
 final class CrashRecordCodec implements RecordFile.Codec<CrashRecord> {
     static void write(MessageBufferPacker out, List<CrashRecord> records) throws IOException {
         out.packArrayHeader(records.size());
@@ -27,9 +27,9 @@
     }
 
     /**
-     * Reads records.
+     * Reads crash records.
      *
-     * @throws IOException if one is not what it must be
+     * @throws IOException if a record is malformed
      */
     static List<CrashRecord> read(MessageUnpacker in) throws IOException {
         int size = in.unpackArrayHeader();
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/Dialer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/Dialer.java
@@ -14,21 +14,22 @@
 import org.orchidmount.internal.log.PartLog;
 
 /**
- * Keeps a link to one address open: connects again whenever it breaks, with growing pauses.
- *
- * <p>Thread-safe.
+ * Keeps a link to one address open: reconnects with exponential backoff whenever it breaks.
+ * Thread-safe.
  */
 final class Dialer implements AutoCloseable {
-    /** Tries are many, so each is logged at the debug level only. */
+    /** Failed attempts are frequent while a peer is down, so each is logged at debug level only. */
     private static final PartLog LOG = PartLog.of("link");
 
-    /** Far more than a round trip between the regions of a site. */
+    /** Far longer than a round trip between the regions of a site. */
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
 
-    /** The first pause between tries; it doubles with each. */
+    /** Delay before the first reconnection attempt; doubled after each failed attempt. */
     private static final long FIRST_PAUSE_MILLIS = 80;
 
-    /** The longest pause between tries, so that a healed link is used soon. */
+    /**
+     * Upper bound of the backoff; short, so that a link is restored soon after its path recovers.
+     */
     private static final long LONGEST_PAUSE_MILLIS = 800;
 
     private final HostPort mAddress;
@@ -61,7 +62,10 @@
         }
     }
 
-    /** Connects once and carries messages until the link breaks; returns whether it was open. */
+    /**
+     * Connects once and processes messages until the link breaks; returns whether the connection
+     * was established.
+     */
     private boolean connect() {
         Socket socket = new Socket();
         try {
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/EntryNode.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/EntryNode.java
@@ -48,11 +48,12 @@
 import org.orchidmount.routes.RouteTableParser;
 
 /**
- * What an entry knows from the voters: the route table in force and the upstreams.
+ * The cluster node of an entry: receives the route table and the upstream registrations from the
+ * voters.
  *
- * <p>Invariants: the table never goes back to a lower version; an upstream that has begun to leave
- * comes back only by a new start. What is known stays in use while no voter can be reached. The
- * state is confined to one thread; the public methods are thread-safe.
+ * <p>Invariants: the table in force never reverts to a lower version; an upstream that has begun to
+ * drain is used again only after a restart, as a new incarnation. Known data stays in use while no
+ * voter can be reached. The state is confined to one thread; the public methods are thread-safe.
  */
 public final class EntryNode
         implements SequenceAnnouncer,
@@ -62,34 +63,38 @@
                 AutoCloseable {
     private static final PartLog LOG = PartLog.of("entry");
 
-    /** Pause between two looks at links and tables. */
+    /** Interval of the periodic check of links and tables. */
     private static final long TICK_MILLIS = 200;
 
-    /** Pause between two announcements of progress; others forget after three missed. */
+    /**
+     * Interval of progress announcements; other instances discard a sequence after three missed
+     * announcements.
+     */
     private static final long ANNOUNCE_AGAIN_MILLIS = 1_500;
 
-    /** Pause between two requests for a table. */
+    /** Minimum interval between two requests for a table. */
     private static final Duration REQUEST_AGAIN_AFTER = Duration.ofMillis(250);
 
     /**
-     * How long the registration of an upstream that has left is remembered: less than by voters,
-     * which tell a start once, so that each one that they take is taken here.
+     * Retention of the registration of an upstream that has left. Shorter than at voters: these
+     * forward a new registration only once, so an entry must not reject one that a voter has
+     * accepted.
      */
     private static final Duration REMEMBER_FOR = Duration.ofMinutes(9);
 
-    /** A voter that is silent for this long is no longer dialled. */
+    /** Time after which a silent voter is no longer dialled. */
     private static final Duration FORGET_VOTER_AFTER = Duration.ofSeconds(30);
 
-    /** After this time a table of a voter without a quorum is served from. */
+    /** Time after which an entry serves from a table of a voter that has no quorum. */
     private static final Duration WAIT_FOR_QUORUM = Duration.ofSeconds(3);
 
     /**
-     * An instance that has just started has a table this soon unless its voters are lost: links
-     * take some 10 ms, and an election after a full restart 0.1 to 0.3 s.
+     * Time after the start by which an instance has a table unless its voters cannot be reached:
+     * links take some 10 ms to establish, an election after a full restart 0.1 to 0.3 s.
      */
     private static final Duration TABLE_KNOWN_AFTER = Duration.ofSeconds(1);
 
-    /** By then each instance has announced its sequences anew, and a little more. */
+    /** Time after which every instance has announced its sequences again, with a margin. */
     private static final Duration SEQUENCES_KNOWN_AFTER =
             Duration.ofMillis(ANNOUNCE_AGAIN_MILLIS + 500);
 
@@ -103,7 +108,7 @@
     private final Map<HostPort, Dialer> mDialers = new HashMap<>();
     private final Map<HostPort, Long> mSeenNanos = new HashMap<>();
 
-    /** The newest notice of each voter; those received last stand at the end. */
+    /** Newest notice of each voter, in order of receipt. */
     private final LinkedHashMap<Link, TableNotice> mNotices = new LinkedHashMap<>();
 
     private final Map<Link, HostPort> mLinks = new HashMap<>();
@@ -117,7 +122,10 @@
     private long mRequestedNanos;
     private volatile long mUnlinkedNanos;
 
-    /** When a voter in touch with a quorum last said that the table held here is the newest. */
+    /**
+     * Time at which a voter with contact to a quorum last confirmed that the table held is the
+     * newest.
+     */
     private volatile long mConfirmedNanos;
 
     private boolean mConfirmed;
@@ -125,24 +133,24 @@
     private volatile boolean mReady;
     private volatile int mEntries = 1;
 
-    /** A sequence that this instance has placed. */
+    /** A sequence placed by this instance, with its current progress. */
     private record OwnSequence(InFlightSequence sequence, IntSupplier generatedTokens) {
         InFlightSequence now() {
             return sequence.withGenerated(generatedTokens.getAsInt());
         }
     }
 
-    /** Takes what is received from the voters; called on the node's thread. */
+    /** Receives updates from the voters; called on the node's thread. */
     public interface Listener {
         /**
-         * Takes a registration that is new.
+         * Handles a new or changed registration.
          *
          * @param registration the registration
          */
         void onRegistration(Registration registration);
 
         /**
-         * Takes what an instance, perhaps this one, has announced of a sequence.
+         * Handles the announced progress of a sequence of any instance, this one included.
          *
          * @param sequence the sequence
          */
@@ -150,14 +158,14 @@
     }
 
     /**
-     * Starts to follow the voters.
+     * Creates a node and connects it to the voters.
      *
-     * @param node the instance's name
-     * @param zone its availability zone
+     * @param node the instance name
+     * @param zone the instance's availability zone
      * @param seeds cluster addresses of some voters
-     * @param parser reads tables
-     * @param listener takes registrations and announcements
-     * @param clock the clock
+     * @param parser the parser of table documents
+     * @param listener the receiver of registrations and announcements
+     * @param clock the monotonic clock
      */
     public EntryNode(
             String node,
@@ -183,21 +191,21 @@
     }
 
     /**
-     * Returns the table in force here.
+     * Returns the route table in force.
      *
-     * @return the table, or nothing until one is known
+     * @return the table, or empty until one is received
      */
     public Optional<RouteTable> table() {
         return Optional.ofNullable(mTable);
     }
 
     /**
-     * Returns the table in force here, and waits for the first one shortly after the start, when it
-     * is most likely on its way.
+     * Returns the route table in force; shortly after the start, when the first one is most likely
+     * in transit, waits for it.
      *
-     * @param longest the longest wait
-     * @return the table; nothing if none is known by then
-     * @throws InterruptedException if the thread is interrupted
+     * @param longest the maximum wait
+     * @return the table, or empty if none was received in time
+     * @throws InterruptedException if the thread is interrupted while waiting
      */
     public Optional<RouteTable> awaitTable(Duration longest) throws InterruptedException {
         long startingNanos = TABLE_KNOWN_AFTER.toNanos() - (mClock.nanoTime() - mStartNanos);
@@ -208,25 +216,27 @@
     }
 
     /**
-     * Tells whether a table is known that was in force when this instance started, or later.
+     * Returns whether this instance may serve: it has a table that is at least as new as the one in
+     * force when it started, as far as the voters could confirm that.
      *
-     * @return false until then
+     * @return true from then on
      */
     public boolean isReady() {
         return mReady;
     }
 
     /**
-     * Tells for how long nobody has confirmed that the table in force here is the newest.
+     * Returns the time since a voter with contact to a quorum last confirmed that the table in
+     * force here is the newest.
      *
-     * @return the time since a voter in touch with a quorum said so
+     * @return the time since the last confirmation, or since the start if there was none
      */
     public Duration unconfirmedFor() {
         return Duration.ofNanos(mClock.nanoTime() - mConfirmedNanos);
     }
 
     /**
-     * Returns how many entries share the limits of the site.
+     * Returns the number of entries that share the limits of the site.
      *
      * @return the number, at least 1
      */
@@ -235,7 +245,7 @@
     }
 
     /**
-     * Looks for voters at more addresses from now on.
+     * Adds addresses at which to look for voters.
      *
      * @param seeds cluster addresses of some voters
      */
@@ -262,9 +272,9 @@
     }
 
     /**
-     * Sends to one voter in each availability zone, which passes it on to the entries there: to the
-     * one whose notice is newest, which is most likely well. What a voter that has just been lost
-     * does not pass on is known to its zone with the next announcement of progress.
+     * Sends sequences to one voter in each availability zone, which relays them to the entries
+     * there. Chooses the voter with the most recent notice, as the one most likely to be up. If it
+     * was lost just before, its zone learns of the sequences with the next progress announcement.
      */
     private void announce(List<InFlightSequence> sequences) {
         Frame frame = new Frame(new InFlightSequences(sequences));
@@ -281,7 +291,10 @@
         return greeting == null ? "" : greeting.zone();
     }
 
-    /** Announces the progress of all own sequences, so that others forget those of the dead. */
+    /**
+     * Announces the progress of all own sequences; other instances discard sequences that are no
+     * longer announced.
+     */
     private void announceAgain() {
         List<InFlightSequence> sequences =
                 mOwnSequences.values().stream().map(OwnSequence::now).toList();
@@ -309,9 +322,9 @@
     }
 
     /**
-     * Returns what is known here of requests that crash upstreams.
+     * Returns the crash records known to this instance.
      *
-     * @return the registry, which goes on changing
+     * @return the live registry, updated as records arrive
      */
     public CrashRegistry crashes() {
         return mRecords.crashes();
@@ -323,9 +336,9 @@
     }
 
     /**
-     * Returns what is known here of limits that upstreams state.
+     * Returns the upstream rate limits known to this instance.
      *
-     * @return the limits, which go on changing
+     * @return the live limits, updated as records arrive
      */
     public UpstreamLimits limits() {
         return mRecords.limits();
@@ -337,10 +350,11 @@
     }
 
     /**
-     * Passes on that an upstream leaves, which it has said here in an answer. Voters hold it as if
-     * it had registered so, and pass it on. Returns at once.
+     * Announces to all voters that an upstream is leaving, as stated in one of its responses to
+     * this instance. The voters hold and forward this as if the upstream had registered it. Returns
+     * without waiting.
      *
-     * @param leaving its registration, as that of one that leaves
+     * @param leaving the registration of the upstream, in a leaving state
      */
     public void announceDeparture(Registration leaving) {
         mTasks.post(
@@ -350,12 +364,18 @@
                 });
     }
 
-    /** It names the start of each, if that is known, so that it is merged and not acknowledged. */
+    /**
+     * Returns a message that is merged but not acknowledged, since each registration carries its
+     * incarnation where that is known.
+     */
     private static Registrations departures(List<Registration> leaving) {
         return new Registrations(0, leaving);
     }
 
-    /** A voter that has started again may know these as they register: ready. */
+    /**
+     * Sends the known departures to a voter: after a restart, it may hold these upstreams as ready,
+     * as they registered.
+     */
     private void repeatDepartures(Link voter) {
         List<Registration> leaving =
                 mRegistry.all().stream()
@@ -367,9 +387,9 @@
     }
 
     /**
-     * Reaches the owner that counts what upstreams take and gives turns. Voters of earlier builds
-     * may know no questions; while one of them is linked, which may come to lead, there is no
-     * owner.
+     * Returns a client of the owner that counts the requests sent to upstreams. While a voter of an
+     * earlier build is linked, which may not support these requests and might become leader, the
+     * client answers that there is no owner.
      *
      * @return the client
      */
@@ -472,7 +492,10 @@
         dial(address);
     }
 
-    /** Asks for a newer table, and decides whether the one held may be served from. */
+    /**
+     * Requests a newer table if a voter has announced one, and checks whether the table held may be
+     * served from.
+     */
     private void follow() {
         long held = mTable == null ? 0 : mTable.version();
         Link newest = null;
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/EntryRecords.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/EntryRecords.java
@@ -18,16 +18,16 @@
 import org.orchidmount.quarantine.CrashRegistry;
 
 /**
- * What an entry keeps and tells without agreement: crashes and limits of upstreams. Each is sent to
- * every voter, since each record matters and there are few; a voter that takes none is sent none.
- * Confined to the entry's thread, but for what it holds, which is thread-safe.
+ * Records that an entry holds and distributes without consensus: crash records and upstream limits.
+ *
+ * <p>Every record is sent to every voter that supports its kind, since each one matters and there
+ * are few. Confined to the entry's thread, except for the two collections, which are thread-safe.
  */
 final class EntryRecords {
     private final CrashRegistry mCrashes;
     private final UpstreamLimits mLimits;
     private final Map<Link, Greeting> mVoters = new HashMap<>();
 
-    /** Creates it without any records. */
     EntryRecords(String instance, MonotonicClock clock) {
         mCrashes = new CrashRegistry(clock);
         mLimits = new UpstreamLimits(instance, clock);
@@ -41,7 +41,7 @@
         return mLimits;
     }
 
-    /** Greets a voter with all records. */
+    /** Registers a linked voter and sends it all records. */
     void linked(Link voter, Greeting greeting) {
         mVoters.put(voter, greeting);
         if (!mCrashes.isEmpty()) {
@@ -74,12 +74,12 @@
         }
     }
 
-    /** Tells whether each voter that is linked understands something. */
+    /** Returns whether every linked voter supports a capability. */
     boolean allVotersKnow(Capability capability) {
         return mVoters.values().stream().allMatch(voter -> voter.knows(capability));
     }
 
-    /** Takes a message of a voter if it carries records. */
+    /** Merges the records of a message; ignores other messages. */
     void received(ClusterMessage message) {
         if (message instanceof CrashRecords crashes) {
             mCrashes.merge(crashes.records());
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/FirstState.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/FirstState.java
@@ -13,9 +13,12 @@
 import org.orchidmount.consensus.GroupState;
 import org.orchidmount.consensus.Member;
 
-/** Makes the state with which a voter begins on an empty disk. Stateless and thread-safe. */
+/** Creates the initial durable state of a voter with an empty disk. Stateless and thread-safe. */
 final class FirstState {
-    /** Random bytes that tell a voter with a new disk from the one before. */
+    /**
+     * Length of the random identifier that distinguishes a voter with a new disk from its
+     * predecessor at the same address.
+     */
     private static final int IDENTITY_BYTES = 8;
 
     private static final String FOUNDER = "/first";
@@ -23,7 +26,8 @@
     private FirstState() {}
 
     /**
-     * The state of an empty disk: a founder's if it is one, else that of a replica to be taught.
+     * Returns the initial state: that of a founding member at the first start of the site, else
+     * that of a replica without members, which receives its state from the group.
      */
     static DurableState of(VoterConfig config) {
         List<Member> founders =
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/Frame.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/Frame.java
@@ -8,7 +8,7 @@
 import java.nio.ByteBuffer;
 
 /**
- * A message as it goes over links: a length of four bytes and the encoded message.
+ * A message in its wire format: a length of four bytes, followed by the encoded message.
  *
  * <p>It is encoded at most once, by the first link that writes it, however many links it is sent
  * on. Thread-safe.
@@ -21,7 +21,7 @@
         mMessage = message;
     }
 
-    /** Returns the bytes, which are not to be changed. */
+    /** Returns the encoded frame; callers must not modify it. */
     synchronized byte[] bytes() {
         if (mBytes == null) {
             byte[] body = ClusterCodec.encode(mMessage);
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/GatheredSequences.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/GatheredSequences.java
@@ -11,15 +11,17 @@
 import org.orchidmount.load.InFlightSequence;
 
 /**
- * Announcements of sequences that a voter has received and passes on to the entries of its own
- * availability zone. Each entry announces to a voter in every zone, so that an announcement crosses
- * to another zone once, however many entries are there. The sender takes its own as known. Confined
- * to the voter's thread.
+ * Batches the sequence announcements that a voter receives and relays them to the entries of its
+ * own availability zone.
+ *
+ * <p>Each entry announces to one voter in every zone, so that an announcement crosses to another
+ * zone once, however many entries are there. The announcing entry applies its own announcements
+ * locally. Confined to the voter's thread.
  */
 final class GatheredSequences {
     /**
-     * Announcements are gathered this long, so that many entries cost few frames: a quarter of the
-     * 30 ms after which an entry counts on all others to have received its own.
+     * Batching delay, which keeps the number of frames low when many entries announce: a quarter of
+     * the 30 ms after which an entry relies on all others having received its announcement.
      */
     private static final long GATHER_MILLIS = 8;
 
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/HostPort.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/HostPort.java
@@ -9,18 +9,18 @@
  * An IP address and a TCP port.
  *
  * @param host the IP address
- * @param port the port
+ * @param port the TCP port
  */
 public record HostPort(String host, int port) {
     /** The largest TCP port. */
     public static final int MAX_PORT = 65_535;
 
     /**
-     * Reads the form host:port.
+     * Parses an address of the form {@code host:port}. The host is not checked.
      *
-     * @param text the text
+     * @param text the text to parse
      * @return the address
-     * @throws IllegalArgumentException if it is none
+     * @throws IllegalArgumentException if the text has no host or no numeric port
      */
     public static HostPort parse(String text) {
         int colon = text.lastIndexOf(':');
@@ -35,7 +35,8 @@
         }
     }
 
-    // Written out, because the compiler's versions are linked at run time, early in each start.
+    // Explicit, because a record's generated methods are linked at run time, which slows each
+    // start.
     @Override
     public boolean equals(Object other) {
         return other instanceof HostPort that && port == that.port && host.equals(that.host);
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/Link.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/Link.java
@@ -20,30 +20,30 @@
 import org.orchidmount.internal.log.PartLog;
 
 /**
- * A connection to another instance that carries messages both ways.
+ * A TCP connection to another instance that carries messages in both directions.
  *
- * <p>Frames are a length of four bytes and a message. A link on which nothing arrives for {@link
- * #SILENCE} is closed, so one that is cut in silence is found. Sending never blocks: a peer that
- * does not read loses the link. A frame that cannot be read is dropped alone, because its link
- * would only be made anew and carry the same again; but a link begins with one that can.
- * Thread-safe.
+ * <p>A frame is a length of four bytes and an encoded message. A link that receives nothing for
+ * {@link #SILENCE} is closed, which detects connections that were cut without notice. Sending never
+ * blocks: the link is closed if the peer reads too slowly. A frame that cannot be decoded is
+ * dropped without closing the link, since the peer would only reconnect and send the same frame
+ * again; but the first frame of a link must be decodable. Thread-safe.
  */
 final class Link implements AutoCloseable {
-    /** The longest pause of a sender; a third of the silence that ends a link. */
+    /** Maximum time between two frames of a sender; less than a third of {@link #SILENCE}. */
     static final Duration KEEP_ALIVE = Duration.ofMillis(400);
 
-    /** The longest silence of a peer, after which the link ends. */
+    /** Time without a frame from the peer after which the link is closed. */
     static final Duration SILENCE = Duration.ofMillis(1_500);
 
     private static final PartLog LOG = PartLog.of("link");
 
-    /** The largest frame: a table document and its envelope. */
+    /** Largest frame accepted: a table document and its envelope. */
     private static final int MAX_FRAME_BYTES = 16 * 1024 * 1024;
 
-    /** The longest foreign text in a line. */
+    /** Maximum length of text from a peer in a log line. */
     private static final int MAX_LOGGED_CHARACTERS = 300;
 
-    /** Messages queued for a peer that reads too slowly, until the link ends. */
+    /** Number of messages queued for a slow peer at which the link is closed. */
     private static final int MAX_QUEUED = 512;
 
     private static final Frame KEEP_ALIVE_FRAME = new Frame(new KeepAlive());
@@ -53,17 +53,20 @@
     private final BlockingQueue<Frame> mQueue = new ArrayBlockingQueue<>(MAX_QUEUED);
     private final AtomicBoolean mClosed = new AtomicBoolean();
 
-    /** What could not be read or used; confined to the reader thread, as is the next. */
+    /**
+     * Number of frames and list elements rejected so far; confined to the reader thread, as is the
+     * next field.
+     */
     private long mRefusals;
 
     private boolean mHasBegun;
 
-    /** Takes what arrives; called on the link's reader thread. */
+    /** Receives the events of a link; called on the link's reader thread. */
     interface Handler {
-        /** Takes a message. */
+        /** Handles a message from the peer. */
         void received(Link link, ClusterMessage message);
 
-        /** Learns that the link has closed. */
+        /** Handles the end of the link. */
         void closed(Link link);
     }
 
@@ -74,7 +77,7 @@
         socket.setSoTimeout((int) SILENCE.toMillis());
     }
 
-    /** Carries messages until the link closes. */
+    /** Reads messages until the link closes. */
     void run() {
         Thread.ofVirtual().name("link-writer").start(this::writeAll);
         try (DataInputStream in =
@@ -117,7 +120,7 @@
         mHandler.received(this, message);
     }
 
-    /** Logs the first refusal, the second, the fourth and so on, so that lines stay few. */
+    /** Logs the first, second, fourth, eighth and so on rejection, to bound the log volume. */
     private void refused(String what) {
         mRefusals++;
         if (Long.bitCount(mRefusals) == 1) {
@@ -125,7 +128,10 @@
         }
     }
 
-    /** Returns what holds foreign text as one line may: short, and in ASCII. */
+    /**
+     * Returns text from a peer in a form that is safe to log: truncated, and with non-printable and
+     * non-ASCII characters replaced.
+     */
     private static String printable(String text) {
         int length = Math.min(text.length(), MAX_LOGGED_CHARACTERS);
         return text.substring(0, length).replaceAll("[^ -~]", "?");
@@ -146,12 +152,14 @@
         }
     }
 
-    /** Queues a message; closes the link if the peer reads too slowly. */
+    /** Queues a message; closes the link if its queue is full. */
     void send(ClusterMessage message) {
         send(new Frame(message));
     }
 
-    /** Queues a message that may go over other links too. */
+    /**
+     * Queues a frame, which may be sent on other links too; closes the link if its queue is full.
+     */
     void send(Frame frame) {
         if (!mQueue.offer(frame)) {
             LOG.info("link with %s ends: %d messages wait", peer(), MAX_QUEUED);
@@ -159,7 +167,10 @@
         }
     }
 
-    /** Logs why the link ends, unless it was closed here; whoever needs it connects again. */
+    /**
+     * Logs why the link ends, unless this side closed it. Nothing else is to be done: the dialling
+     * side reconnects.
+     */
     private void logEnd(String what, IOException e) {
         if (isOpen()) {
             LOG.info("link with %s ends: %s: %s", peer(), what, e);
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/LinkServer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/LinkServer.java
@@ -13,14 +13,14 @@
 import org.orchidmount.internal.log.PartLog;
 
 /**
- * Takes links from other instances.
+ * Accepts links from other instances.
  *
- * <p>Invariant: once it is closed its address is free. Thread-safe.
+ * <p>Invariant: after {@link #close} the address can be bound again. Thread-safe.
  */
 final class LinkServer implements AutoCloseable {
     private static final PartLog LOG = PartLog.of("link");
 
-    /** Connections not yet accepted; more than a site has instances. */
+    /** Backlog of the listening socket; larger than the number of instances of a site. */
     private static final int BACKLOG = 512;
 
     private final ServerSocket mSocket;
@@ -66,7 +66,10 @@
         awaitEnd();
     }
 
-    /** The thread that waits for links keeps the socket, and its address, until it wakes. */
+    /**
+     * Waits for the accepting thread, which keeps the socket and its address in use until it
+     * returns.
+     */
     private void awaitEnd() {
         try {
             mAccepting.join();
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/PeerRecords.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/PeerRecords.java
@@ -12,14 +12,17 @@
 import org.orchidmount.membership.Registration.State;
 
 /**
- * Tells which of the records that other instances send can be used. One that cannot would fail
- * later, with each request or message that uses it. Stateless and thread-safe.
+ * Validates records received from other instances. An unusable record is rejected on receipt, since
+ * it would fail later with every request or message that uses it. Stateless and thread-safe.
  */
 final class PeerRecords {
 
     private PeerRecords() {}
 
-    /** Tells whether an upstream can be called as it is registered, or is said to have left. */
+    /**
+     * Returns whether a registration can be used: the upstream has left, or can be called as
+     * registered.
+     */
     static boolean isUsable(Registration registration) {
         if (registration.id().isEmpty() || registration.sequence() < 0) {
             return false;
@@ -31,7 +34,7 @@
                         && isAddress(registration.address());
     }
 
-    /** Tells whether a forecast of memory can count a sequence. */
+    /** Returns whether the memory forecast can account for a sequence. */
     static boolean isUsable(InFlightSequence sequence) {
         return sequence.promptTokens() >= 0
                 && sequence.expectedTokens() >= 0
@@ -39,16 +42,16 @@
                 && sequence.generatedTokens() >= 0;
     }
 
-    /** Tells whether a voter can be linked. */
+    /** Returns whether a member has an identity and an address that can be dialled. */
     static boolean isUsable(Member member) {
         return !member.id().isEmpty() && isAddress(member.address());
     }
 
     /**
-     * Requires that the sender of a message can be linked.
+     * Checks that the sender of a message has a usable address.
      *
      * @return the sender
-     * @throws IOException if not
+     * @throws IOException if it has none
      */
     static Member requireUsable(Member sender) throws IOException {
         if (!isUsable(sender)) {
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/PendingDepartures.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/PendingDepartures.java
@@ -12,19 +12,19 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Departures of upstreams on their way to a quorum of the voters.
+ * Departures of upstreams that are being replicated to a quorum of the voters.
  *
- * <p>Invariant: a departure is confirmed only once as many voters hold it as a quorum has, the one
- * that counts included. Confined to the voter's own thread.
+ * <p>Invariant: a departure is confirmed only once a quorum of voters holds it, this voter
+ * included. Confined to the voter's thread.
  */
 final class PendingDepartures {
-    /** The number of a departure that is announced again and that nobody waits for. */
+    /** Number of a resent departure whose acknowledgements are ignored. */
     static final long NONE = -1;
 
     private final Map<Long, Pending> mPending = new HashMap<>();
     private long mNumber;
 
-    /** A departure, and the other voters that are known to hold it. */
+    /** A departure and the other voters that have acknowledged it. */
     private static final class Pending {
         private final CompletableFuture<Boolean> mDone;
         private final Set<HostPort> mHolders = new HashSet<>();
@@ -34,14 +34,14 @@
         }
     }
 
-    /** Begins to count the voters that hold a departure; returns its number in messages. */
+    /** Starts tracking a departure; returns the number that identifies it in messages. */
     long begin(CompletableFuture<Boolean> done) {
         mNumber++;
         mPending.put(mNumber, new Pending(done));
         return mNumber;
     }
 
-    /** Counts a voter that holds a departure, once, however often it says so. */
+    /** Records an acknowledgement; repeated acknowledgements of a voter count once. */
     void held(long number, HostPort voter, int quorum) {
         Pending pending = mPending.get(number);
         if (pending != null) {
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Forgets a departure that was confirmed or given up. */
+    /** Stops tracking a departure that was confirmed or abandoned. */
     void end(long number) {
         mPending.remove(number);
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/Persister.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/Persister.java
@@ -13,18 +13,18 @@
 import org.orchidmount.internal.log.PartLog;
 
 /**
- * Writes values on a thread of its own, so that a slow or hung disk holds up nothing else.
+ * Writes values on a dedicated thread, so that a slow or hung disk blocks nothing else.
  *
- * <p>Only the newest value that waits is written. A write that the disk refuses is tried again
- * until it succeeds or a newer value replaces it. The thread starts with the first value.
- * Thread-safe; the lock is a leaf.
+ * <p>Only the newest pending value is written. A failed write is retried until it succeeds or a
+ * newer value replaces it. The thread starts with the first value. Thread-safe; no other lock is
+ * acquired while the lock is held.
  *
- * @param <T> what is written; not null
+ * @param <T> the type of the values; not null
  */
 final class Persister<T> implements AutoCloseable {
     private static final PartLog LOG = PartLog.of("disk");
 
-    /** Pause before a failed write is tried again. */
+    /** Delay before a failed write is retried. */
     private static final long RETRY_MILLIS = 100;
 
     private final Lock mLock = new ReentrantLock();
@@ -36,19 +36,23 @@
     private T mWaiting;
     private boolean mRefused;
 
-    /** Writes a value. */
+    /** Writes a value durably. */
     @FunctionalInterface
     interface Writer<T> {
-        /** Writes a value and returns once it is synced. */
+        /**
+         * Writes a value; returns once it is synced.
+         *
+         * @throws IOException if the write failed and is to be retried
+         */
         void write(T value) throws IOException;
     }
 
     /**
-     * Creates it; nothing is written yet.
+     * Creates a persister without a pending value.
      *
      * @param thread the name of the writing thread
      * @param writer writes a value
-     * @param written learns that a value was synced; called on the writing thread
+     * @param written called on the writing thread after a value was synced
      */
     Persister(String thread, Writer<T> writer, Consumer<T> written) {
         mWriter = writer;
@@ -56,7 +60,7 @@
         mThread = Thread.ofPlatform().name(thread).daemon().unstarted(this::writeAll);
     }
 
-    /** Queues a value in place of the one that waits. */
+    /** Queues a value for writing, replacing any pending value. */
     void persist(T value) {
         mLock.lock();
         try {
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/QuotaRequests.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/QuotaRequests.java
@@ -20,18 +20,21 @@
 import org.orchidmount.quota.QuotaAsk;
 
 /**
- * The questions of an entry to the owner of the buckets, which is the voter that leads.
+ * An entry's requests for quota to the owner of the token buckets, which is the leading voter.
  *
- * <p>An entry asks the voter that it last knew to lead; one that does not names the leader, which
- * is asked next. While the leader is silent, or there is none, another voter is asked to grant what
- * it may without the lease; entries and keys are spread over all voters, so that what each may
- * grant is used. Invariant: units that are granted to nobody who waits are given back. Confined to
- * the entry's thread.
+ * <p>An entry asks the voter that it last knew to lead; a voter that does not lead names the
+ * leader, which is asked next. While the leader does not respond, or there is none, another voter
+ * is asked to grant units from its reserve, without the lease; entries and keys are spread over all
+ * voters, so that the reserves of all are used. Invariant: units granted after the caller has given
+ * up are returned. Confined to the entry's thread.
  */
 final class QuotaRequests {
     private static final PartLog LOG = PartLog.of("quota");
 
-    /** How often a question is sent: to a voter, to the leader it names, and to a successor. */
+    /**
+     * Maximum number of attempts: one each at any voter, the leader that it names, and a new
+     * leader.
+     */
     private static final int MAX_TRIES = 3;
 
     private final int mSpread;
@@ -40,10 +43,10 @@
             new TreeMap<>(Comparator.comparing(HostPort::toString));
     private long mLastNumber;
 
-    /** The voter that leads, as far as is known here; null if none is known. */
+    /** Leading voter as far as known; null if unknown. */
     private HostPort mOwner;
 
-    /** A question that waits for an answer of a voter. */
+    /** A request that awaits a voter's reply. */
     private record Pending(
             QuotaAsk ask,
             CompletableFuture<QuotaAnswer> answer,
@@ -52,20 +55,20 @@
             int tries) {}
 
     /**
-     * Creates it without any voter.
+     * Creates an instance without linked voters.
      *
-     * @param spread a number of this entry, so that entries ask different voters
+     * @param spread a number specific to this entry, so that entries ask different voters
      */
     QuotaRequests(int spread) {
         mSpread = spread;
     }
 
-    /** Learns that a voter can be asked. */
+    /** Adds a linked voter. */
     void linked(HostPort voter, Link link) {
         mVoters.put(voter, link);
     }
 
-    /** Learns that a voter is lost: what it was asked is asked of another. */
+    /** Removes a voter whose link was lost; its pending requests are sent to another voter. */
     void lost(HostPort voter, Link link) {
         if (!mVoters.remove(voter, link)) {
             return;
@@ -80,7 +83,10 @@
         asked.forEach(pending -> send(pending.ask(), pending.answer(), pending.tries()));
     }
 
-    /** Asks for units. */
+    /**
+     * Requests units; the future completes with the reply, or with {@code NO_OWNER} if no voter can
+     * grant them.
+     */
     void ask(QuotaAsk ask, CompletableFuture<QuotaAnswer> answer) {
         send(ask, answer, 0);
     }
@@ -102,7 +108,10 @@
         return mOwner != null && mVoters.containsKey(mOwner) && !isSilent(mOwner);
     }
 
-    /** Tells whether a voter has let the one who waited for its oldest answer give up. */
+    /**
+     * Returns whether a voter is considered silent: the caller of its oldest pending request has
+     * given up.
+     */
     private boolean isSilent(HostPort voter) {
         return mPending.values().stream()
                 .filter(pending -> pending.asked().equals(voter))
@@ -111,7 +120,7 @@
                 .orElse(false);
     }
 
-    /** Chooses a voter that answers; null if there is none. */
+    /** Returns a responsive voter chosen by entry and key; null if there is none. */
     private HostPort voterWithoutLease(QuotaAsk ask) {
         List<HostPort> answering =
                 mVoters.keySet().stream().filter(voter -> !isSilent(voter)).toList();
@@ -121,7 +130,7 @@
         return answering.get(Math.floorMod(mSpread + ask.key().hashCode(), answering.size()));
     }
 
-    /** Takes an answer. */
+    /** Handles the reply of a voter. */
     void received(QuotaReply reply) {
         Pending pending = mPending.remove(reply.number());
         learnOwner(reply);
@@ -144,8 +153,8 @@
     }
 
     /**
-     * Asks the owner that an answer has named, or without one a voter that may grant without the
-     * lease, unless the answer came from one.
+     * Retries a request after a reply without an owner: asks the owner that the reply named, else a
+     * voter that may grant units without the lease, unless the reply came from such a voter.
      */
     private void onNoOwner(Pending pending) {
         boolean hasOwner = isOwnerUsable() && !mOwner.equals(pending.asked());
@@ -157,7 +166,7 @@
         }
     }
 
-    /** Units that came too late go back to the voter that granted them. */
+    /** Returns units that were granted too late to the voter that granted them. */
     private void giveBackTo(HostPort voter, QuotaAsk ask, QuotaAnswer answer) {
         Link link = mVoters.get(voter);
         if (answer.outcome() == QuotaAnswer.Outcome.GRANTED && link != null) {
@@ -165,7 +174,7 @@
         }
     }
 
-    /** Gives units back to the owner, also to a successor: they were used nowhere. */
+    /** Returns unused units to the current owner, even if its predecessor granted them. */
     void giveBack(String key, long units) {
         Link link = mOwner == null ? null : mVoters.get(mOwner);
         if (link != null) {
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/RecordFile.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/RecordFile.java
@@ -13,10 +13,10 @@
 import org.orchidmount.quarantine.CrashRecord;
 
 /**
- * Records of a voter on disk, beside its durable state and independent of it: builds that know no
- * such records leave these files alone. Confined to one thread.
+ * File of records that a voter keeps beside its durable state and independently of it: builds that
+ * do not know a kind of record leave its files untouched. Confined to one thread.
  *
- * @param <T> a record
+ * @param <T> the type of the records
  */
 final class RecordFile<T> {
     private static final PartLog LOG = PartLog.of("disk");
@@ -25,15 +25,15 @@
     private final Codec<T> mCodec;
     private final TwoSlotFile mFile;
 
-    /** Writes and reads records. */
+    /** Encodes and decodes records. */
     interface Codec<T> {
-        /** Encodes records. */
+        /** Encodes a list of records. */
         byte[] encode(List<T> records) throws IOException;
 
         /**
-         * Decodes records.
+         * Decodes a list of records.
          *
-         * @throws IOException if one is not what it must be
+         * @throws IOException if a record is malformed
          */
         List<T> decode(byte[] body) throws IOException;
     }
@@ -44,19 +44,19 @@
         mFile = TwoSlotFile.open(folder, name);
     }
 
-    /** Opens the crash records of a folder, which is made if it is missing. */
+    /** Opens the crash records in a folder, which is created if missing. */
     static RecordFile<CrashRecord> crashes(Path folder) throws IOException {
         return new RecordFile<>(folder, "crashes", new CrashRecordCodec());
     }
 
-    /** Opens the limits of upstreams of a folder, which is made if it is missing. */
+    /** Opens the upstream limits in a folder, which is created if missing. */
     static RecordFile<UpstreamLimit> limits(Path folder) throws IOException {
         return new RecordFile<>(folder, "limits", new UpstreamLimitCodec());
     }
 
     /**
-     * Reads the records that were written last. A voter starts without them rather than not at all:
-     * the other instances send it theirs.
+     * Reads the records last written; returns none if the file cannot be read, so that a voter
+     * starts regardless: the other instances send it their records.
      */
     List<T> read() {
         try {
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Writes records and returns once they are synced. */
+    /** Writes records; returns once they are synced. */
     void write(List<T> records) throws IOException {
         mFile.write(mCodec.encode(records));
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/ServiceGate.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/ServiceGate.java
@@ -17,27 +17,33 @@
 import org.orchidmount.routes.RouteTableParser;
 
 /**
- * Keeps registrations of services that the route table does not name apart until it does.
+ * Holds back registrations of services that the route table does not name until it names them.
  *
- * <p>Such a registration may be another program's. Held like others it would take the place of an
- * upstream that has its identity or its address. Invariant: what waits has changed nothing.
+ * <p>Such a registration may belong to another program; if applied, it would replace an upstream
+ * with the same identity or address. Invariant: a registration that is held back has no effect.
  * Confined to the voter's thread.
  */
 final class ServiceGate {
     private static final PartLog LOG = PartLog.of("voter");
 
-    /** More upstreams than the target has, all of which may wait for the first table. */
+    /**
+     * Maximum number of registrations held back; more than the upstreams of the target deployment,
+     * which may all be held back until the first table.
+     */
     private static final int MAX_WAITING = 10_000;
 
     private final RouteTableParser mParser;
     private final Map<Key, Registration> mWaiting = new LinkedHashMap<>();
 
-    /** The table that was committed last; null if there is none. */
+    /** Last committed table; null if there is none. */
     private RouteTable mTable;
 
     private long mRefusals;
 
-    /** An identity may be claimed for several services, of which one is its own. */
+    /**
+     * Key of a registration held back: several services may be registered under one identity, of
+     * which only one belongs to the upstream.
+     */
     private record Key(String id, String service) {}
 
     ServiceGate(RouteTableParser parser) {
@@ -48,7 +54,7 @@
         return mTable != null && mTable.service(service).isPresent();
     }
 
-    /** Takes a registration that has to wait. The ones that have waited longest give way. */
+    /** Holds back a registration. The oldest ones are dropped when there are too many. */
     void await(Registration registration) {
         Key key = new Key(registration.id(), registration.service());
         if (mWaiting.merge(key, registration, Registration::merge) == registration) {
@@ -59,7 +65,10 @@
         }
     }
 
-    /** Logs the first that waits, the second, the fourth and so on, so that lines stay few. */
+    /**
+     * Logs the first, second, fourth, eighth and so on registration held back, to bound the log
+     * volume.
+     */
     private void logWaiting(Registration registration) {
         mRefusals++;
         if (mTable != null && Long.bitCount(mRefusals) == 1) {
@@ -69,16 +78,16 @@
         }
     }
 
-    /** Forgets what waits under an identity that has left. */
+    /** Drops the registrations held back under an identity that has left. */
     void leave(String id) {
         mWaiting.keySet().removeIf(key -> key.id().equals(id));
     }
 
     /**
-     * Reads a committed table. May take long, so it is called on any thread but the voter's.
+     * Parses a committed table. This may take long, so it is not called on the voter's thread.
      *
-     * @param state what is committed
-     * @return the table; nothing if there is none or it cannot be read
+     * @param state the committed state
+     * @return the table, or empty if there is none or it cannot be parsed
      */
     Optional<RouteTable> read(GroupState state) {
         if (state.tableVersion() == 0) {
@@ -93,10 +102,11 @@
     }
 
     /**
-     * Follows the committed table; one that was read late changes nothing.
+     * Applies a committed table; ignores one older than the last, since tables are parsed
+     * concurrently.
      *
      * @param table the table
-     * @return the registrations that need not wait any longer
+     * @return the registrations that are no longer held back
      */
     List<Registration> follow(RouteTable table) {
         if (mTable != null && table.version() < mTable.version()) {
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/StageController.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/StageController.java
@@ -20,42 +20,57 @@
 import org.orchidmount.routing.EngineStagePlan;
 
 /**
- * Gives orders to engines while its voter leads, by {@link EngineStagePlan}.
+ * Orders engines to change their stage while its voter leads, as planned by {@link
+ * EngineStagePlan}.
  *
- * <p>Invariants: the fencing token is the leader's term, so no two holders share one; a leader
- * waits until the lease of the one before must be out; one order is under way at a time, and one
- * that may yet be done is waited for before the next; an order ends with the start of the engine
- * that it was meant for, and is not sent after that; an engine that has asked for a pause is given
- * none until that is over. All state belongs to the voter's thread; an order runs on a thread of
- * its own, which only hands over how it ended and what the engine's answers state.
+ * <p>Invariants:
+ *
+ * <ul>
+ *   <li>the fencing token is the leader's term, so no two leaders share one;
+ *   <li>a new leader waits until the lease of its predecessor must have expired;
+ *   <li>one order is in progress at a time, and one that may still take effect is waited for before
+ *       the next is sent;
+ *   <li>an order applies to one incarnation of an engine only, and is not sent once that has
+ *       restarted;
+ *   <li>an engine that has asked for a pause is sent no order until the pause is over.
+ * </ul>
+ *
+ * <p>All state is confined to the voter's thread; an order runs on its own thread, which only hands
+ * over its result and what the engine's responses state.
  */
 final class StageController {
     private static final PartLog LOG = PartLog.of("orders");
 
-    /** How long a change must be due, so that a restart of an engine orders none. */
+    /**
+     * Time for which a change must be due before it is ordered, so that the restart of an engine
+     * triggers none.
+     */
     private static final Duration SETTLE = Duration.ofMillis(1_200);
 
     /**
-     * The same for a change to prefill: an engine that is lost is often back within seconds, and
-     * its change would take a second engine from the output.
+     * Same for a change to prefill: an engine that is lost often returns within seconds, and
+     * replacing it would take a second engine from decoding.
      */
     private static final Duration SETTLE_AFTER_LOSS = Duration.ofSeconds(7);
 
-    /** Pause after an order, from its start: an engine's change shows in its heartbeats. */
+    /** Pause after the start of an order, until the engine's change shows in its heartbeats. */
     private static final Duration REST = Duration.ofSeconds(3);
 
-    /** How long an order may yet be done: the engines' 6 s for a change, twice and more. */
+    /**
+     * Time for which an order may still take effect: more than twice the 6 s that an engine may
+     * take for a change.
+     */
     private static final Duration WAIT_FOR_DONE = Duration.ofSeconds(16);
 
-    /** Added to the lease of the leader before, for clocks that run at different rates. */
+    /** Margin on the predecessor's lease for clocks that run at different rates. */
     private static final Duration LEASE_MARGIN = Duration.ofMillis(700);
 
-    /** Heartbeats that an engine may miss and still count. */
+    /** Number of heartbeats that an engine may miss and still be counted. */
     private static final int HEARTBEATS_MISSED = 3;
 
     /**
-     * Heartbeats after which an engine that fell silent is no longer expected back: on the users'
-     * platforms some 12 s, twice what an engine takes to change its stage.
+     * Number of missed heartbeats after which an engine is no longer expected to return: some 12 s
+     * on the users' platforms, twice the time that an engine takes to change its stage.
      */
     private static final int HEARTBEATS_UNTIL_LOST = 10;
 
@@ -76,20 +91,23 @@
     private long mGivenNanos;
     private StageOrders.Order mPending;
 
-    /** True once the engine of the order that was given last has started again. */
+    /**
+     * Whether the engine of the last order has restarted since; shared with the thread of that
+     * order.
+     */
     private AtomicBoolean mStartedAgain = new AtomicBoolean();
 
-    /** How an order ended, and when it was given. */
+    /** The result of an order and the time at which it was given. */
     private record Ended(StageOrders.Order order, StageOrders.Result result, long givenNanos) {}
 
     /**
-     * Creates it.
+     * Creates a controller.
      *
-     * @param config the engines, and how they are ordered
-     * @param holder the name that orders are given under
-     * @param pauses the pauses that engines ask this instance for
-     * @param departures takes the registrations of engines that say in an answer that they leave,
-     *     from any thread
+     * @param config the engines' settings and the client that sends orders
+     * @param holder the name under which orders are given
+     * @param pauses the pauses that engines have asked this instance for
+     * @param departures receives the registrations of engines that state in a response that they
+     *     are leaving; called on any thread
      */
     StageController(
             VoterConfig.Stages config,
@@ -104,28 +122,29 @@
         mHolder = holder;
     }
 
-    /** Tells whether an order is under way. */
+    /** Returns whether an order is in progress; may be called on any thread. */
     boolean isCalling() {
         return mCalling.get();
     }
 
-    /** Returns how long an upstream may be silent and still be counted. */
+    /** Returns the time for which a silent upstream still counts as running. */
     Duration countedWithin() {
         return mConfig.heartbeat().multipliedBy(HEARTBEATS_MISSED);
     }
 
-    /** Returns how long an upstream may be silent and still be expected back. */
+    /** Returns the time for which a silent upstream is still expected to return. */
     Duration expectedWithin() {
         return mConfig.heartbeat().multipliedBy(HEARTBEATS_UNTIL_LOST);
     }
 
     /**
-     * Lets time pass.
+     * Processes the result of the last order and gives the next one if it is due; called
+     * periodically.
      *
      * @param term the voter's term, or -1 if it does not lead a quorum
-     * @param current the upstreams whose heartbeats are recent
-     * @param silent those that have lately stopped to send any and are expected back
-     * @param stillHeld tells, from any thread, whether the voter still leads that term
+     * @param current the upstreams with recent heartbeats
+     * @param silent the upstreams that have recently become silent and are expected to return
+     * @param stillHeld returns, on any thread, whether the voter still leads in that term
      * @param nowNanos the monotonic time
      */
     void tick(
@@ -169,8 +188,9 @@
     }
 
     /**
-     * Drops the order whose engine has started again: it knows of none. The pause after an order
-     * stays, since one without an answer may yet reach the new start, which takes it for its own.
+     * Drops the pending order if its engine has restarted, since the new incarnation does not know
+     * of it. The pause after the order still applies: an unanswered order may yet reach the new
+     * incarnation, which would accept it as its own.
      */
     private void dropOfEarlierStart(List<Registration> current) {
         if (mPending == null) {
@@ -189,7 +209,7 @@
         }
     }
 
-    /** Tells whether the lease of every leader before must be out. */
+    /** Returns whether the leases of all previous leaders must have expired. */
     private boolean holds(long nowNanos) {
         Duration wait = mConfig.lease().plus(LEASE_MARGIN);
         return mTerm >= 0 && nowNanos - mTermSinceNanos > wait.toNanos();
@@ -199,13 +219,13 @@
         return nowNanos - mGivenNanos < WAIT_FOR_DONE.toNanos();
     }
 
-    /** Tells whether the engine that was ordered has its new stage. */
+    /** Returns whether a registration shows that the pending order took effect. */
     private boolean isDone(Registration registration) {
         return registration.id().equals(mPending.engine().id())
                 && registration.stage() == mPending.stage();
     }
 
-    /** Tells whether a change to the same stage has been due for long enough. */
+    /** Returns whether a change to the same stage has been due for long enough. */
     private boolean isSettled(EngineStagePlan.Change change, long nowNanos) {
         if (mDue == null || mDue.stage() != change.stage()) {
             mDue = change;
@@ -236,7 +256,7 @@
         Thread.ofVirtual().name("order").start(() -> call(order, maySend, nowNanos));
     }
 
-    /** Runs on a thread of its own. */
+    /** Sends an order and records its result; runs on the order's own thread. */
     private void call(StageOrders.Order order, BooleanSupplier stillHeld, long givenNanos) {
         StageOrders.Result result = StageOrders.Result.UNKNOWN;
         try {
@@ -246,7 +266,7 @@
         } finally {
             LOG.info("engine %s: order %s", order.engine().id(), result);
             mEnded.set(new Ended(order, result, givenNanos));
-            // Last: the voter's thread reads how the order ended once this is false.
+            // Must come last: once this is false, the voter's thread reads the result.
             mCalling.set(false);
         }
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/StageOrders.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/StageOrders.java
@@ -11,18 +11,20 @@
 import org.orchidmount.pacing.UpstreamStatement;
 
 /**
- * Gives orders to upstreams. Implementations translate only; they block and are thread-safe. They
- * refuse an order whose engine has started again since it was registered.
+ * Client that sends orders to upstreams. Implementations only translate to the upstream's protocol;
+ * they block and are thread-safe. They must not apply an order to an engine that has restarted
+ * since it registered.
  */
 @FunctionalInterface
 public interface StageOrders {
     /**
-     * Orders an engine to change its stage.
+     * Orders an engine to change its stage; blocks until it responds or a time-out expires.
      *
      * @param order the order
-     * @param stillHeld asked right before the order is sent; no order is sent if it says no
-     * @param statements takes what each answer of the engine states of it
-     * @return how the engine took it
+     * @param stillHeld checked right before the order is sent; the order is not sent if it returns
+     *     false
+     * @param statements receives what each response of the engine states about it
+     * @return the result
      */
     Result changeStage(
             Order order, BooleanSupplier stillHeld, Consumer<UpstreamStatement> statements);
@@ -30,22 +32,22 @@
     /**
      * An order to an engine.
      *
-     * @param engine the engine
-     * @param stage the stage it is to have
-     * @param holder who gives the order
-     * @param fence the fencing token of the holder
+     * @param engine the engine's registration
+     * @param stage the stage to change to
+     * @param holder the name under which the order is given
+     * @param fence the fencing token: the term of the leader that gives the order
      */
     record Order(Registration engine, Registration.Stage stage, String holder, long fence) {}
 
-    /** How an engine took an order. */
+    /** The result of an order. */
     enum Result {
-        /** It does it, or has done it. */
+        /** The engine carries out the order, or has done so. */
         TAKEN,
-        /** It refuses it for now. */
+        /** The engine refuses the order for now. */
         REFUSED,
-        /** It has seen a higher fencing token. */
+        /** The engine has seen a higher fencing token. */
         FENCED,
-        /** It has not answered; it may do it yet. */
+        /** No response; the order may still take effect. */
         UNKNOWN
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/StateFile.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/StateFile.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import org.orchidmount.consensus.DurableState;
 
-/** The durable state of a replica on disk. Confined to one thread. */
+/** File of a replica's durable state. Confined to one thread. */
 final class StateFile {
     private static final String NAME = "replica";
 
@@ -20,15 +20,16 @@
         mFile = file;
     }
 
-    /** Opens the files of a folder, which is made if it is missing. */
+    /** Opens the state in a folder, which is created if missing. */
     static StateFile open(Path folder) throws IOException {
         return new StateFile(TwoSlotFile.open(folder, NAME));
     }
 
     /**
-     * Reads the newest whole state.
+     * Reads the newest intact state.
      *
-     * @return the state, or nothing if no file holds a whole one
+     * @return the state, or empty if no file holds an intact one
+     * @throws IOException if a file cannot be read or its state cannot be decoded
      */
     Optional<DurableState> read() throws IOException {
         Optional<byte[]> body = mFile.read();
@@ -37,7 +38,7 @@
                 : Optional.empty();
     }
 
-    /** Writes a state and returns once it is synced. */
+    /** Writes a state; returns once it is synced. */
     void write(DurableState state) throws IOException {
         mFile.write(ClusterCodec.encodeState(state));
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/TableAnswer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/TableAnswer.java
@@ -5,20 +5,20 @@
  */
 package org.orchidmount.cluster;
 
-/** What a voter answers to an operator about the route table. */
+/** Reply of a voter to an operator's request about the route table. */
 public sealed interface TableAnswer {
-    /** The change, or a newer one, is committed. */
+    /** The change or a newer version is committed. */
     record Accepted(long version) implements TableAnswer {}
 
-    /** Another table was accepted under this version before. */
+    /** A different table was already accepted under this version. */
     record Conflict(long version) implements TableAnswer {}
 
-    /** The committed table; its document is empty while there is none. */
+    /** The committed table; the document is empty and the version 0 if there is none. */
     record Current(long version, byte[] document) implements TableAnswer {}
 
-    /** Another voter leads; it is to be asked. */
+    /** Another voter leads; the request must be sent to its control address. */
     record AskLeader(String controlAddress) implements TableAnswer {}
 
-    /** No quorum answered; whether a change was taken is unknown. */
+    /** No quorum responded; a change may or may not have been accepted. */
     record Unavailable() implements TableAnswer {}
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/TaskThread.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/TaskThread.java
@@ -11,8 +11,8 @@
 import org.orchidmount.internal.log.PartLog;
 
 /**
- * Runs the tasks of a node one after the other on a thread of its own, so that the node's state
- * needs no lock. A task that throws is logged and ends neither the thread nor its periodic tasks.
+ * Runs the tasks of a node in sequence on a dedicated thread, so that the node's state needs no
+ * lock. An exception in a task is logged and ends neither the thread nor periodic tasks.
  * Thread-safe.
  */
 final class TaskThread implements AutoCloseable {
@@ -20,10 +20,10 @@
     private final ScheduledThreadPoolExecutor mExecutor;
 
     /**
-     * Starts the thread.
+     * Creates the executor; its thread starts with the first task.
      *
-     * @param name its name
-     * @param log takes the failures of tasks
+     * @param name the name of the thread
+     * @param log the log for exceptions in tasks
      */
     TaskThread(String name, PartLog log) {
         mLog = log;
@@ -33,7 +33,7 @@
         mExecutor.setRemoveOnCancelPolicy(true);
     }
 
-    /** Runs a task after those posted before. One that comes after the end is dropped. */
+    /** Queues a task. Tasks posted after {@link #close} are dropped. */
     void post(Runnable task) {
         try {
             mExecutor.execute(() -> guarded(task));
@@ -42,13 +42,13 @@
         }
     }
 
-    /** Runs a task again and again, with a pause before each run. */
+    /** Runs a task periodically, with a fixed delay before each run. */
     void every(long pauseMillis, Runnable task) {
         mExecutor.scheduleWithFixedDelay(
                 () -> guarded(task), pauseMillis, pauseMillis, TimeUnit.MILLISECONDS);
     }
 
-    /** Runs a task once after a pause. */
+    /** Runs a task once after a delay. */
     void after(long pauseMillis, Runnable task) {
         mExecutor.schedule(() -> guarded(task), pauseMillis, TimeUnit.MILLISECONDS);
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/TwoSlotFile.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/TwoSlotFile.java
@@ -16,21 +16,21 @@
 import org.orchidmount.internal.log.PartLog;
 
 /**
- * A value in two files that are written by turns.
+ * A durable value kept in two files that are written alternately.
  *
- * <p>Invariant: the file that holds the newest synced value is never written to, so a write that is
- * torn by a loss of power leaves that value whole. Confined to one thread.
+ * <p>Invariant: the file that holds the newest synced value is never overwritten, so a write torn
+ * by a power failure leaves that value intact. Confined to one thread.
  */
 final class TwoSlotFile {
     private static final PartLog LOG = PartLog.of("disk");
 
-    /** The letters "orch". */
+    /** The letters "orch" in ASCII. */
     private static final int MAGIC = 0x6f726368;
 
-    /** The version of the form. */
+    /** Version of the file format. */
     private static final int FORMAT = 1;
 
-    /** Magic, format, sequence, length and checksum. */
+    /** Size of the header: magic, format version, generation, checksum and body length. */
     private static final int HEAD_BYTES = 4 + 4 + 8 + 8 + 4;
 
     private static final int SLOTS = 2;
@@ -40,7 +40,7 @@
     private long mGeneration;
     private int mNextSlot;
 
-    /** A value read from one of the files. */
+    /** A value read from one of the two files. */
     private record Slot(long generation, byte[] body) {}
 
     private TwoSlotFile(Path folder, String name) {
@@ -49,11 +49,12 @@
     }
 
     /**
-     * Opens the files of a folder, which is made if it is missing.
+     * Opens the files in a folder, which is created if missing.
      *
      * @param folder the folder
-     * @param name the first part of the names of the files
+     * @param name the prefix of the file names
      * @return the files
+     * @throws IOException if the folder cannot be created
      */
     static TwoSlotFile open(Path folder, String name) throws IOException {
         Files.createDirectories(folder);
@@ -65,9 +66,10 @@
     }
 
     /**
-     * Reads the newest whole value.
+     * Reads the newest intact value.
      *
-     * @return the value, or nothing if no file holds a whole one
+     * @return the value, or empty if neither file holds an intact one
+     * @throws IOException if a file cannot be read
      */
     Optional<byte[]> read() throws IOException {
         Slot newest = null;
@@ -110,7 +112,11 @@
         return new Slot(generation, body);
     }
 
-    /** Writes a value and returns once it is synced. */
+    /**
+     * Writes a value; returns once it is synced.
+     *
+     * @throws IOException if it could not be written; the previous value stays intact
+     */
     void write(byte[] body) throws IOException {
         long generation = mGeneration + 1;
         ByteBuffer bytes = ByteBuffer.allocate(HEAD_BYTES + body.length);
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/UpstreamLimitCodec.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/UpstreamLimitCodec.java
@@ -17,7 +17,7 @@
 import org.orchidmount.membership.Incarnation;
 import org.orchidmount.pacing.UpstreamLimit;
 
-/** Writes and reads limits of upstreams, in frames and in files. Stateless and thread-safe. */
+/** Encodes and decodes upstream limits for frames and files. Stateless and thread-safe. */
 final class UpstreamLimitCodec implements RecordFile.Codec<UpstreamLimit> {
     static void write(MessageBufferPacker out, List<UpstreamLimit> limits) throws IOException {
         out.packArrayHeader(limits.size());
@@ -48,9 +48,9 @@
     }
 
     /**
-     * Reads limits.
+     * Reads upstream limits.
      *
-     * @throws IOException if one is not what it must be
+     * @throws IOException if a limit is malformed
      */
     static List<UpstreamLimit> read(MessageUnpacker in) throws IOException {
         List<UpstreamLimit> limits = new ArrayList<>();
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/UpstreamLimitUse.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/UpstreamLimitUse.java
@@ -9,9 +9,11 @@
 import org.orchidmount.pacing.UpstreamLimit;
 
 /**
- * A limit that an upstream states, and what the voter that was asked has counted of it. Immutable.
+ * A rate limit stated by an upstream, with its use as counted by the voter that was asked.
+ * Immutable.
  *
- * @param limit the limit, in force
- * @param granted requests granted since this voter leads; nothing if another one counts
+ * @param limit the limit in force
+ * @param granted the number of requests granted since this voter became leader; empty if it does
+ *     not lead
  */
 public record UpstreamLimitUse(UpstreamLimit limit, OptionalLong granted) {}
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterConfig.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterConfig.java
@@ -11,18 +11,19 @@
 import org.orchidmount.consensus.Timing;
 
 /**
- * How a voter is set up. Immutable.
+ * Configuration of a voter. Immutable.
  *
- * @param node the instance's name
- * @param zone its availability zone
- * @param address where it listens to other instances
- * @param controlAddress where it serves operators and upstreams
- * @param seeds control and cluster addresses of some voters
- * @param firstStart true only at the first start of the whole site, when the seeds found the group
- * @param folder where its state is kept
- * @param lossesBorne how many voters may be lost at once
- * @param timing the time-outs of the group
- * @param stages how orders to engines are given
+ * @param node the instance name
+ * @param zone the instance's availability zone
+ * @param address the listening address for other instances
+ * @param controlAddress the listening address for operators and upstreams
+ * @param seeds the control and cluster addresses of some voters
+ * @param firstStart whether the whole site starts for the first time, in which case the seeds found
+ *     the group
+ * @param folder the folder of the voter's durable state
+ * @param lossesBorne the number of voters that may fail at the same time
+ * @param timing the time-outs of the consensus group
+ * @param stages the settings for orders to engines
  */
 public record VoterConfig(
         String node,
@@ -35,27 +36,27 @@
         int lossesBorne,
         Timing timing,
         Stages stages) {
-    /** Copies the list of seeds. */
+    /** Creates a configuration with a copy of the list of seeds. */
     public VoterConfig {
         seeds = List.copyOf(seeds);
     }
 
     /**
-     * How orders to engines are given.
+     * Settings for orders to engines.
      *
-     * @param lease how long a holder's orders may be under way
-     * @param heartbeat the pause between two messages of an upstream
-     * @param prefillShare the share of prefill engines
-     * @param orders gives the orders
+     * @param lease the time for which orders of a former leader may still be in progress
+     * @param heartbeat the interval between two heartbeats of an upstream
+     * @param prefillShare the fraction of the engines that prefill
+     * @param orders the client that sends orders
      */
     public record Stages(
             Duration lease, Duration heartbeat, double prefillShare, StageOrders orders) {}
 
     /**
-     * A voter known from the settings.
+     * A voter listed in the settings.
      *
-     * @param address where it listens to other instances
-     * @param controlAddress where it serves operators and upstreams
+     * @param address its listening address for other instances
+     * @param controlAddress its listening address for operators and upstreams
      */
     public record Seed(HostPort address, String controlAddress) {}
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterCrashes.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterCrashes.java
@@ -14,11 +14,11 @@
 import org.orchidmount.quarantine.RequestFingerprint;
 
 /**
- * The crash records of a voter, which passes what is new on to all instances and keeps it on disk.
+ * The crash records of a voter, which forwards new ones to all instances and stores them on disk.
  *
- * <p>No agreement is needed: records merge to the same in any order. A record is lost only with
- * every instance that has received it and every disk of a voter among them. Confined to the voter's
- * thread.
+ * <p>No consensus is needed, since merging records is independent of their order. A record is lost
+ * only if every instance that received it fails, and for voters among these the disk too. Confined
+ * to the voter's thread.
  */
 final class VoterCrashes implements AutoCloseable {
     private static final PartLog LOG = PartLog.of("crash");
@@ -27,7 +27,7 @@
     private final VoterLinks mLinks;
     private final Persister<List<CrashRecord>> mPersister;
 
-    /** Creates it with the records on disk. */
+    /** Loads the records on disk. */
     VoterCrashes(RecordFile<CrashRecord> file, VoterLinks links, MonotonicClock clock) {
         mRegistry = new CrashRegistry(clock);
         mLinks = links;
@@ -39,24 +39,24 @@
         }
     }
 
-    /** Greets a peer with all records. */
+    /** Sends all records to a newly linked peer that supports them. */
     void greet(Link link, ClusterMessage.Greeting peer) {
         if (!mRegistry.isEmpty() && peer.knows(Capability.CRASH_RECORDS)) {
             link.send(new CrashRecords(mRegistry.all()));
         }
     }
 
-    /** Takes records of another instance. */
+    /** Merges the records of another instance and forwards the changes. */
     void received(CrashRecords records) {
         passOn(mRegistry.merge(records.records()));
     }
 
-    /** Returns the requests that must not be run. */
+    /** Returns the records of quarantined requests, which must not be run. */
     List<CrashRecord> quarantined() {
         return mRegistry.quarantined();
     }
 
-    /** Lifts a quarantine; returns false if there is none. */
+    /** Lifts the quarantine of a request; returns false if it is not quarantined. */
     boolean lift(RequestFingerprint fingerprint) {
         if (!mRegistry.find(fingerprint).isQuarantined()) {
             return false;
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterLimits.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterLimits.java
@@ -15,11 +15,11 @@
 import org.orchidmount.pacing.UpstreamLimits;
 
 /**
- * The limits of upstreams at a voter, which passes what is new on to all instances and keeps it on
- * disk, so that also an instance that has just started keeps to them.
+ * The upstream limits held by a voter, which forwards new ones to all instances and stores them on
+ * disk, so that an instance that has just started observes them too.
  *
- * <p>No agreement is needed: records merge to the same in any order. Confined to the voter's
- * thread.
+ * <p>No consensus is needed, since merging records is independent of their order. Confined to the
+ * voter's thread.
  */
 final class VoterLimits implements AutoCloseable {
     private static final PartLog LOG = PartLog.of("pacing");
@@ -28,7 +28,7 @@
     private final VoterLinks mLinks;
     private final Persister<List<UpstreamLimit>> mPersister;
 
-    /** Creates it with the limits on disk. */
+    /** Loads the limits on disk. */
     VoterLimits(
             String instance,
             RecordFile<UpstreamLimit> file,
@@ -44,14 +44,14 @@
         }
     }
 
-    /** Greets a peer with all limits. */
+    /** Sends all limits to a newly linked peer that supports them. */
     void greet(Link link, ClusterMessage.Greeting peer) {
         if (!mLimits.isEmpty() && peer.knows(Capability.UPSTREAM_LIMITS)) {
             link.send(new UpstreamLimitRecords(mLimits.all()));
         }
     }
 
-    /** Takes limits of another instance. */
+    /** Merges the limits of another instance and forwards the changes. */
     void received(UpstreamLimitRecords records) {
         List<UpstreamLimit> changed = mLimits.merge(records.limits());
         if (changed.isEmpty()) {
@@ -61,7 +61,7 @@
         mPersister.persist(mLimits.all());
     }
 
-    /** Forgets upstreams that have left or started again. */
+    /** Removes the limits of upstreams that have left or restarted. */
     void forgetEnded(Registry registry) {
         mLimits.forget(
                 upstream ->
@@ -70,7 +70,7 @@
                                 .isPresent());
     }
 
-    /** Returns the limits in force, and what was counted of their use. */
+    /** Returns the limits in force with their counted use. */
     List<UpstreamLimitUse> uses(VoterQuota quota) {
         return mLimits.all().stream()
                 .filter(UpstreamLimit::isInForce)
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterLinks.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterLinks.java
@@ -18,12 +18,11 @@
 import org.orchidmount.consensus.Member;
 
 /**
- * The links of a voter to other voters and to entries, and the addresses at which voters may be.
- *
- * <p>Confined to the voter's own thread.
+ * The links of a voter to other voters and to entries, and the known addresses of voters. Confined
+ * to the voter's thread.
  */
 final class VoterLinks implements AutoCloseable {
-    /** Nanoseconds after which a silent peer is no longer dialled. */
+    /** Time after which a silent peer is no longer dialled. */
     private static final long FORGET_NANOS = 30_000_000_000L;
 
     private final HostPort mSelf;
@@ -50,7 +49,7 @@
         mSeeds.forEach(this::dial);
     }
 
-    /** Keeps a link to an address open from now on. */
+    /** Keeps a link to an address open from now on; ignores the own address. */
     void dial(HostPort address) {
         if (!address.equals(mSelf)) {
             mDialers.computeIfAbsent(address, to -> new Dialer(to, mGreeting, mHandler));
@@ -58,8 +57,9 @@
     }
 
     /**
-     * Notes where a replica is; returns true if its address was not known. A replica that lost its
-     * disk goes by two identities for a while, which must not count as a change again and again.
+     * Records the address of a replica; returns whether the address is new. The identity is not
+     * compared: a replica that lost its disk appears under two identities for a while, which must
+     * not count as a change again and again.
      */
     boolean learn(Member member, long nowNanos) {
         HostPort address = HostPort.parse(member.address());
@@ -85,7 +85,9 @@
         return mVoterLinks.containsKey(link) || mEntryLinks.containsKey(link);
     }
 
-    /** Returns the address of the replica at the other end of a link; nothing if it is none. */
+    /**
+     * Returns the address of the voter at the other end of a link; empty if the peer is no voter.
+     */
     Optional<HostPort> voterAddress(Link link) {
         return Optional.ofNullable(mVoterLinks.get(link)).map(VoterPeer::address);
     }
@@ -95,7 +97,7 @@
         mEntryLinks.remove(link);
     }
 
-    /** Returns the replicas known to be about. */
+    /** Returns the other replicas known to this voter. */
     List<Member> members() {
         return new ArrayList<>(mMembers.values());
     }
@@ -114,7 +116,7 @@
         }
     }
 
-    /** Sends a message once to every voter that is linked. */
+    /** Sends a message to every linked voter, once even if several links lead to it. */
     void sendToVoters(ClusterMessage message) {
         Frame frame = new Frame(message);
         Set<HostPort> reached = new HashSet<>();
@@ -125,7 +127,7 @@
         }
     }
 
-    /** Sends a message to all voters and entries that understand it. */
+    /** Sends a message to all voters and entries that support a capability. */
     void sendToAllKnowing(Capability capability, ClusterMessage message) {
         Frame frame = new Frame(message);
         mVoterLinks.forEach(
@@ -146,8 +148,8 @@
     }
 
     /**
-     * Sends a message to the entries of the own availability zone, and to those of zones of which
-     * no voter is linked here.
+     * Sends a message to the entries of this voter's availability zone, and to those of zones
+     * without a voter linked to this one.
      */
     void sendToNearEntries(ClusterMessage message) {
         Set<String> otherZones = new HashSet<>();
@@ -163,7 +165,9 @@
                 (link, entry) -> sendIf(!otherZones.contains(entry.zone()), link, frame));
     }
 
-    /** Stops dialing addresses that are neither seeds nor voters and have long been silent. */
+    /**
+     * Stops dialling addresses that are neither seeds nor voters and have been silent for too long.
+     */
     void forgetOld(Collection<Member> voters, long nowNanos) {
         mVoterLinks.values().forEach(voter -> mSeenNanos.put(voter.address(), nowNanos));
         for (Member voter : voters) {
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterNode.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterNode.java
@@ -48,26 +48,27 @@
 import org.orchidmount.routes.RouteTableParser;
 
 /**
- * An instance that votes on the route table and passes registrations on.
+ * The cluster node of a voter: takes part in the consensus on the route table and distributes
+ * registrations of upstreams.
  *
- * <p>Invariants: a change is answered as accepted only once it is synced at a quorum; a
- * registration that says an upstream leaves is answered only once a quorum holds it; what entries
- * are told is committed; units of a shared limit are granted only while it leads a quorum. All
- * state is confined to one thread; the public methods are thread-safe and answer by futures.
+ * <p>Invariants: a change is acknowledged only once it is synced at a quorum, the departure of an
+ * upstream only once a quorum holds it; entries are sent committed tables only; units of a shared
+ * limit are granted only while leading a quorum. State is confined to one thread; public methods
+ * are thread-safe, and their futures may never complete.
  */
 public final class VoterNode implements AutoCloseable {
-    /** The version of the protocol between instances. */
+    /** Version of the protocol between instances. */
     static final int PROTOCOL = 2;
 
     private static final PartLog LOG = PartLog.of("voter");
 
-    /** Pause between two ticks of the replica, a fraction of its timeouts. */
+    /** Interval between two ticks of the replica, a fraction of its time-outs. */
     private static final long TICK_MILLIS = 50;
 
-    /** Pause between two notices of the table to all entries. */
+    /** Interval between two table notices to all entries. */
     private static final long NOTICE_MILLIS = 1_000;
 
-    /** Nanoseconds for which an upstream that has left is remembered. */
+    /** Retention of the registration of an upstream that has left. */
     private static final long REMEMBER_NANOS = Duration.ofMinutes(10).toNanos();
 
     private final TaskThread mTasks = new TaskThread("voter", LOG);
@@ -84,17 +85,17 @@
     private final VoterRecords mRecords;
     private final GatheredSequences mSequences;
 
-    /** Registrations received here since the other voters were last sent any. */
+    /** Registrations received from upstreams since the last batch to the other voters. */
     private final Map<String, Registration> mReceived = new HashMap<>();
 
-    /** Keeps registrations of unknown services apart; null if all services count as known. */
+    /** Holds back registrations of unknown services; null if all services are accepted. */
     private ServiceGate mGate;
 
     private GroupState mCommitted = new GroupState(List.of(), 0, new byte[0]);
     private boolean mWasInTouch;
     private Replica.Role mWasRole = Replica.Role.FOLLOWER;
 
-    /** A state to be written, and the number by which the replica knows the write. */
+    /** A state to be written, and the number that identifies the write to the replica. */
     private record StateWrite(long number, DurableState state) {}
 
     private VoterNode(VoterConfig config, MonotonicClock clock) throws IOException {
@@ -141,23 +142,23 @@
     /**
      * Starts a voter.
      *
-     * @param config how it is set up
-     * @param clock the clock
+     * @param config the configuration
+     * @param clock the monotonic clock
      * @return the running voter
-     * @throws IOException if its folder cannot be read or its address not bound
+     * @throws IOException if the folder cannot be read or the address cannot be bound
      */
     public static VoterNode start(VoterConfig config, MonotonicClock clock) throws IOException {
         return new VoterNode(config, clock);
     }
 
-    // ---- operators
+    // ---- Operators
 
     /**
-     * Puts a table in force if its version is higher than that held.
+     * Commits a table if its version is higher than that of the newest one.
      *
-     * @param version its version
-     * @param document the checked table
-     * @return the answer, in time or not at all
+     * @param version the version of the table
+     * @param document the validated table document
+     * @return the reply; may never complete
      */
     public CompletableFuture<TableAnswer> putTable(long version, byte[] document) {
         return ask(
@@ -184,9 +185,9 @@
     }
 
     /**
-     * Reads the newest table, confirmed by a quorum.
+     * Reads the committed table, confirmed by a quorum.
      *
-     * @return the answer, in time or not at all
+     * @return the reply; may never complete
      */
     public CompletableFuture<TableAnswer> readTable() {
         return ask(
@@ -201,7 +202,7 @@
                                                         : new TableAnswer.Unavailable())));
     }
 
-    /** Runs a question on the leader, or names the leader. */
+    /** Runs a request on the leader, or replies with the leader's address. */
     private CompletableFuture<TableAnswer> ask(Consumer<Consumer<TableAnswer>> question) {
         CompletableFuture<TableAnswer> answer = new CompletableFuture<>();
         mTasks.post(
@@ -221,16 +222,16 @@
     }
 
     /**
-     * Returns the voters, as far as this one knows them to be committed.
+     * Returns the committed voters as known to this one.
      *
-     * @return the voters, in time or not at all
+     * @return the voters; may never complete
      */
     public CompletableFuture<List<Member>> voters() {
         return ask(() -> mCommitted.members());
     }
 
     /**
-     * Looks for voters at more addresses from now on.
+     * Adds addresses at which to look for voters.
      *
      * @param seeds cluster addresses of some voters
      */
@@ -238,49 +239,49 @@
         mTasks.post(() -> seeds.forEach(mLinks::dial));
     }
 
-    // ---- crashes and limits of upstreams
+    // ---- Crash records and upstream limits
 
     /**
-     * Returns the requests that are not run, because upstreams have crashed under them.
+     * Returns the quarantined requests, under which upstreams have crashed.
      *
-     * @return their records, in time or not at all
+     * @return their records; may never complete
      */
     public CompletableFuture<List<CrashRecord>> quarantined() {
         return ask(mRecords.crashes()::quarantined);
     }
 
     /**
-     * Lets a quarantined request run again, at all instances.
+     * Lifts the quarantine of a request at all instances.
      *
-     * @param fingerprint the request
-     * @return true if it was quarantined
+     * @param fingerprint the fingerprint of the request
+     * @return true if the request was quarantined
      */
     public CompletableFuture<Boolean> liftQuarantine(RequestFingerprint fingerprint) {
         return ask(() -> mRecords.crashes().lift(fingerprint));
     }
 
     /**
-     * Returns the limits that upstreams state, as far as this voter knows them, and their use.
+     * Returns the rate limits that upstreams state, as known to this voter, with their use.
      *
-     * @return the limits in force, in time or not at all
+     * @return the limits in force; may never complete
      */
     public CompletableFuture<List<UpstreamLimitUse>> upstreamLimits() {
         return ask(() -> mRecords.limits().uses(mQuota));
     }
 
-    /** Has the voter's own thread answer a question. */
+    /** Evaluates a query on the voter's thread. */
     private <T> CompletableFuture<T> ask(Supplier<T> question) {
         CompletableFuture<T> answer = new CompletableFuture<>();
         mTasks.post(() -> answer.complete(question.get()));
         return answer;
     }
 
-    // ---- upstreams
+    // ---- Upstreams
 
     /**
-     * From now on holds no registration of a service that the table in force does not name.
+     * Holds back registrations of services that the table in force does not name.
      *
-     * @param parser reads the table
+     * @param parser the parser of table documents
      */
     public void requireNamedServices(RouteTableParser parser) {
         mTasks.post(
@@ -291,7 +292,7 @@
     }
 
     /**
-     * Reads the table on another thread: the first takes some 0.3 s, longer than a leader's pause.
+     * Parses the table on another thread: the first takes some 0.3 s, longer than a leader's pause.
      */
     private void followServices(ServiceGate gate, GroupState state) {
         Thread.ofVirtual()
@@ -307,7 +308,7 @@
         registerNamed(gate.follow(table));
     }
 
-    /** An upstream that is held goes on, also if the table has ceased to name its service. */
+    /** Registered upstreams stay accepted, even if the table no longer names their service. */
     private boolean hasToWait(Registration registration) {
         if (mGate == null || mGate.isNamed(registration.service())) {
             return false;
@@ -318,7 +319,7 @@
                 .isEmpty();
     }
 
-    /** Takes registrations that have waited, in one message, however many they are. */
+    /** Applies registrations that were held back and forwards them in one message. */
     private void registerNamed(List<Registration> named) {
         List<Registration> changed = new ArrayList<>();
         for (Registration registration : named) {
@@ -330,10 +331,11 @@
     }
 
     /**
-     * Takes what an upstream says of itself.
+     * Applies the registration of an upstream.
      *
      * @param registration the registration
-     * @return true once it is known where it must be, false if this voter may be cut off
+     * @return true once it is held where required, for a departure at a quorum; false if this voter
+     *     may be cut off
      */
     public CompletableFuture<Boolean> register(Registration registration) {
         CompletableFuture<Boolean> done = new CompletableFuture<>();
@@ -356,7 +358,7 @@
         return done;
     }
 
-    /** Returns the registration now held if it changed. */
+    /** Applies a registration; returns the registration now held if it changed. */
     private Optional<Registration> hold(Registration registration) {
         long nowNanos = mClock.nanoTime();
         Optional<Registration> changed =
@@ -368,7 +370,7 @@
         return changed;
     }
 
-    /** Takes what an engine has said in an answer to this voter. */
+    /** Applies an engine's statement, in a response to this voter, that it leaves. */
     private void leaves(Registration leaving) {
         mRegistry.merge(leaving, mClock.nanoTime()).ifPresent(this::forward);
     }
@@ -377,7 +379,10 @@
         return registration.state() != Registration.State.READY;
     }
 
-    /** A late message of an earlier start must not keep back one of the start that is held. */
+    /**
+     * Queues a registration for the next batch, unless it is a late one of an earlier incarnation,
+     * which would replace that of the current one.
+     */
     private void noteReceived(Registration registration) {
         boolean isOfTheOneHeld =
                 mRegistry
@@ -390,10 +395,10 @@
     }
 
     /**
-     * Takes the word of an upstream that it leaves.
+     * Applies the departure of an upstream.
      *
-     * @param id its identity
-     * @return true once a quorum of the voters knows, false if this voter may be cut off
+     * @param id the identity of the upstream
+     * @return true once a quorum of the voters holds it; false if this voter may be cut off
      */
     public CompletableFuture<Boolean> leave(String id) {
         CompletableFuture<Boolean> done = new CompletableFuture<>();
@@ -418,7 +423,7 @@
         long number = mDepartures.begin(done);
         done.whenComplete((held, error) -> mTasks.post(() -> mDepartures.end(number)));
         mLinks.sendToVoters(new Registrations(number, List.of(leaving)));
-        // Without a start it ends what an entry knows only if it was just received.
+        // Without a start time, an entry applies a departure only if it is sent as just received.
         long entryNumber = leaving.incarnation().isStartStated() ? 0 : number;
         mLinks.sendToEntries(new Registrations(entryNumber, List.of(leaving)));
         mDepartures.complete(number, mReplica.state().quorum());
@@ -445,7 +450,7 @@
                 changed.sequence());
     }
 
-    // ---- links
+    // ---- Links
 
     private void onMessage(Link link, ClusterMessage message) {
         if (message instanceof Greeting greeting) {
@@ -477,7 +482,7 @@
         }
     }
 
-    /** The replica looks at the clock first: after a pause of this process others may lead. */
+    /** Ticks the replica first: if this process was suspended, another voter may lead by now. */
     private void onQuotaRequest(Link link, QuotaRequest request) {
         long nowNanos = mClock.nanoTime();
         mReplica.tick(nowNanos);
@@ -491,7 +496,7 @@
         }
     }
 
-    /** A replica that does not vote yet, or no longer, is linked too. */
+    /** Returns whether an address is a voter's; non-voting replicas are linked too. */
     private boolean isMember(HostPort address) {
         return mReplica.state().members().stream()
                 .anyMatch(member -> HostPort.parse(member.address()).equals(address));
@@ -505,7 +510,8 @@
             link.close();
             return;
         }
-        // An entry must know what it must not run or send before it has a table to serve by.
+        // Quarantines and limits must reach an entry before the table with which it starts to
+        // serve.
         mRecords.greet(link, greeting);
         if (greeting.voter() == null) {
             mLinks.entryGreeted(link, greeting);
@@ -523,9 +529,9 @@
     }
 
     /**
-     * Tells an entry that was away of the departures of which no start is known. While this voter
-     * is in touch with a quorum, an upstream that has started again since is known to it, so that
-     * its departure is not among them.
+     * Sends an entry that was disconnected the departures without a known start time. Done only in
+     * contact with a quorum: this voter then knows of upstreams that have restarted since, and
+     * their departures are not among these.
      */
     private void repeatDepartures(Link entry) {
         List<Registration> departures = mRegistry.departuresWithoutStart();
@@ -572,7 +578,7 @@
         return new TableNotice(mCommitted.tableVersion(), mReplica.isInTouch(), mLinks.entries());
     }
 
-    // ---- time
+    // ---- Periodic tasks
 
     private void tick() {
         mReplica.tick(mClock.nanoTime());
@@ -596,7 +602,7 @@
         mStages.tick(term, current, silent, () -> stillLeads(term), nowNanos);
     }
 
-    /** Tells, from another thread, whether this voter leads a quorum in a term. */
+    /** Returns, on another thread, whether this voter leads a quorum in a term. */
     private boolean stillLeads(long term) {
         CompletableFuture<Boolean> leads = new CompletableFuture<>();
         mTasks.post(
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterQuota.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterQuota.java
@@ -19,9 +19,10 @@
 import org.orchidmount.quota.QuotaUse;
 
 /**
- * What a voter grants of limits that all entries share: as their owner while it leads a quorum,
- * which no other does then, and else a few while the leader is silent. The lease of the owner is
- * the leader's, so its number is the term. Confined to the voter's thread.
+ * Grants units of limits shared by all entries: as the owner of the limits while this voter leads a
+ * quorum, which no other voter does at the same time; otherwise a few units from a reserve while
+ * the leader is silent. The owner's lease is the leader's, so the term identifies it. Confined to
+ * the voter's thread.
  */
 final class VoterQuota {
     private static final PartLog LOG = PartLog.of("quota");
@@ -33,10 +34,10 @@
     private final LeaseHistory mLeases;
 
     /**
-     * Creates it for a replica that has just started.
+     * Creates the quota state of a replica that has just started.
      *
-     * @param replica the replica
-     * @param self the replica as the others know it
+     * @param replica the local replica
+     * @param self the replica as known to the others
      * @param isFirstStart whether the whole site starts for the first time
      * @param nowNanos the monotonic time
      */
@@ -47,12 +48,15 @@
         mLeases = new LeaseHistory(replica.term(), isFirstStart, nowNanos);
     }
 
-    /** Notes which lease there is; to be called more often than leases begin. */
+    /** Records the current lease; must be called more often than leases begin. */
     void tick(long nowNanos) {
         mLeases.see(mReplica.term(), nowNanos);
     }
 
-    /** Answers an entry; the replica has to have looked at the clock. */
+    /**
+     * Answers a request of an entry. The replica must have been ticked just before, so that an
+     * expired leadership is noticed.
+     */
     QuotaReply answer(QuotaRequest request, long nowNanos) {
         tick(nowNanos);
         QuotaAnswer answer = QuotaAnswer.NO_OWNER;
@@ -66,28 +70,34 @@
         return new QuotaReply(request.number(), answer, leaderAddress());
     }
 
-    /** A replica that only learns yet is not among those that share the reserve. */
+    /**
+     * Returns whether this replica is a voting member; one that is still catching up has no share
+     * of the reserve.
+     */
     private boolean isMember() {
         return mReplica.state().members().stream()
                 .anyMatch(member -> member.id().equals(mSelf.id()));
     }
 
-    /** Returns the leader's cluster address; empty if none is known. */
+    /** Returns the leader's cluster address; empty if unknown. */
     private String leaderAddress() {
         return mReplica.isInTouch() ? mReplica.leader().map(Member::address).orElse("") : "";
     }
 
-    /** Takes back what was granted and not used. */
+    /** Takes back units that were granted but not used. */
     void giveBack(QuotaReturn units, long nowNanos) {
         mOwner.giveBack(units.key(), units.units(), nowNanos);
     }
 
-    /** Returns how many requests were granted while this voter leads; nothing if it does not. */
+    /**
+     * Returns the number of requests granted since this voter became leader; empty if it does not
+     * lead.
+     */
     OptionalLong granted(String key) {
         return mReplica.holdsQuorum() ? OptionalLong.of(mOwner.granted(key)) : OptionalLong.empty();
     }
 
-    /** Logs what was granted of keys that were refused anything since the last call. */
+    /** Logs the use of keys for which requests were refused since the last call. */
     void logUses() {
         mOwner.takeUses().forEach(VoterQuota::logUse);
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterRecords.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterRecords.java
@@ -14,14 +14,14 @@
 import org.orchidmount.membership.Registry;
 
 /**
- * What a voter keeps and passes on without agreement, because its records merge to the same in any
- * order: crashes and limits of upstreams. Confined to the voter's thread.
+ * Records that a voter holds and distributes without consensus, since merging them is independent
+ * of their order: crash records and upstream limits. Confined to the voter's thread.
  */
 final class VoterRecords implements AutoCloseable {
     private final VoterCrashes mCrashes;
     private final VoterLimits mLimits;
 
-    /** Creates it with what is on disk. */
+    /** Loads the records on disk. */
     VoterRecords(String instance, Path folder, VoterLinks links, MonotonicClock clock)
             throws IOException {
         mCrashes = new VoterCrashes(RecordFile.crashes(folder), links, clock);
@@ -36,13 +36,13 @@
         return mLimits;
     }
 
-    /** Greets a peer with all records. */
+    /** Sends all records to a newly linked peer. */
     void greet(Link link, Greeting peer) {
         mCrashes.greet(link, peer);
         mLimits.greet(link, peer);
     }
 
-    /** Takes a message of another instance if it carries records. */
+    /** Merges the records of a message; ignores other messages. */
     void received(ClusterMessage message) {
         if (message instanceof CrashRecords crashes) {
             mCrashes.received(crashes);
@@ -51,7 +51,7 @@
         }
     }
 
-    /** Forgets what holds only while its upstream runs. */
+    /** Removes records that apply only while their upstream runs. */
     void forgetEnded(Registry registry) {
         mLimits.forgetEnded(registry);
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/package-info.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/package-info.java
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 /**
- * The instances of a site and what they say to each other: voters that agree on the route table and
- * spread registrations, and entries that follow them.
+ * Communication between the instances of a site: voters, which agree on the route table and
+ * distribute registrations of upstreams, and entries, which follow the voters.
  */
 package org.orchidmount.cluster;
