--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/ClusterCodec.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/ClusterCodec.java
@@ -101,7 +101,7 @@
             write(out, message);
             return out.toByteArray();
         } catch (IOException e) {
-            throw new IllegalStateException("a message cannot be encoded", e);
+            throw new IllegalStateException("cannot encode cluster message", e);
         }
     }
 
@@ -120,7 +120,7 @@
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(frame)) {
             return read(in, refusals);
         } catch (MessagePackException | IllegalArgumentException e) {
-            throw new IOException("a garbled frame: " + e.getMessage(), e);
+            throw new IOException("malformed frame: " + e.getMessage(), e);
         }
     }
 
@@ -163,7 +163,7 @@
         } else if (message instanceof Greeting greeting) {
             writeGreeting(out, greeting);
         } else {
-            throw new IllegalStateException("no frame for " + message.getClass());
+            throw new IllegalStateException("no frame type for " + message.getClass());
         }
     }
 
@@ -242,7 +242,7 @@
             writeHead(out, HELLO, replication);
             writeEntry(out, hello.durable());
         } else {
-            throw new IllegalStateException("no frame for " + message.getClass());
+            throw new IllegalStateException("no frame type for " + message.getClass());
         }
     }
 
@@ -317,7 +317,7 @@
             if (isUsable.test(entry)) {
                 usable.add(entry);
             } else {
-                refusals.accept("an entry that cannot be used: " + entry);
+                refusals.accept("skipped unusable list element: " + entry);
             }
         }
         return usable;
@@ -356,7 +356,7 @@
                     case APPEND_REPLY ->
                             new AppendReply(term, sender.id(), readEntry(in), in.unpackLong());
                     case HELLO -> new Hello(term, sender, readEntry(in));
-                    default -> throw new IOException("a frame of the unknown type " + type);
+                    default -> throw new IOException("unknown frame type " + type);
                 };
         return new Replication(sender, message);
     }
@@ -379,7 +379,7 @@
                     readEntry(in),
                     readState(in));
         } catch (MessagePackException e) {
-            throw new IOException("a garbled state: " + e.getMessage(), e);
+            throw new IOException("malformed durable state: " + e.getMessage(), e);
         }
     }
 
@@ -481,7 +481,8 @@
         }
         int size = readSize(in);
         if (size != upstreams) {
-            throw new IOException("a frame holds %d starts of %d".formatted(size, upstreams));
+            throw new IOException(
+                    "malformed frame: %d start times for %d upstreams".formatted(size, upstreams));
         }
         List<OptionalLong> starts = new ArrayList<>();
         for (int left = size; left > 0; left--) {
@@ -532,7 +533,7 @@
     private static <T> T constant(T[] values, int ordinal) throws IOException {
         T constant = constantOrNull(values, ordinal);
         if (constant == null) {
-            throw new IOException("a frame holds the unknown constant " + ordinal);
+            throw new IOException("malformed frame: unknown enum ordinal " + ordinal);
         }
         return constant;
     }
@@ -540,7 +541,7 @@
     private static long readCount(MessageUnpacker in) throws IOException {
         long count = in.unpackLong();
         if (count < 0) {
-            throw new IOException("a frame holds the count " + count);
+            throw new IOException("malformed frame: negative count " + count);
         }
         return count;
     }
@@ -548,7 +549,7 @@
     private static int readSize(MessageUnpacker in) throws IOException {
         int size = in.unpackArrayHeader();
         if (size > MAX_LIST) {
-            throw new IOException("a frame holds a list of " + size);
+            throw new IOException("malformed frame: too many list elements: " + size);
         }
         return size;
     }
@@ -584,13 +585,13 @@
                 int count = inflater.inflate(step);
                 boolean stuck = count == 0 && !inflater.finished();
                 if (stuck || document.size() + count > MAX_DOCUMENT_BYTES) {
-                    throw new IOException("a frame holds a garbled document");
+                    throw new IOException("malformed frame: table document truncated or too large");
                 }
                 document.write(step, 0, count);
             }
             return document.toByteArray();
         } catch (DataFormatException e) {
-            throw new IOException("a frame holds a garbled document", e);
+            throw new IOException("malformed frame: table document cannot be decompressed", e);
         } finally {
             inflater.end();
         }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/CrashRecordCodec.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/CrashRecordCodec.java
@@ -60,7 +60,7 @@
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(body)) {
             return read(in);
         } catch (MessagePackException | IllegalArgumentException e) {
-            throw new IOException("garbled crash records: " + e.getMessage(), e);
+            throw new IOException("malformed crash records: " + e.getMessage(), e);
         }
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/Dialer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/Dialer.java
@@ -84,11 +84,11 @@
     }
 
     private void closeAfter(IOException failure, Socket socket) {
-        LOG.debug("%s cannot be reached: %s", mAddress, failure);
+        LOG.debug("cannot connect to %s: %s", mAddress, failure);
         try {
             socket.close();
         } catch (IOException e) {
-            LOG.debug("the socket of %s cannot be closed: %s", mAddress, e);
+            LOG.debug("cannot close the socket of %s: %s", mAddress, e);
         }
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/EntryNode.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/EntryNode.java
@@ -472,7 +472,9 @@
 
     private void onGreeting(Link link, Greeting greeting) {
         if (greeting.protocol() != VoterNode.PROTOCOL || greeting.voter() == null) {
-            LOG.warn("%s is no voter that can be followed", greeting.node());
+            LOG.warn(
+                    "closing the link to %s: not a voter, or another protocol version",
+                    greeting.node());
             link.close();
             return;
         }
@@ -483,7 +485,7 @@
         mRecords.linked(link, greeting);
         repeatDepartures(link);
         learn(greeting.voter());
-        LOG.info("voter %s is reached", greeting.node());
+        LOG.info("connected to voter %s", greeting.node());
     }
 
     private void learn(Member member) {
@@ -516,7 +518,7 @@
         boolean known = mTable != null && newest == null;
         if (!mReady && known && (mConfirmed || waited)) {
             mReady = true;
-            LOG.info("ready with table %d", mTable.version());
+            LOG.info("ready to serve with table %d", mTable.version());
         }
     }
 
@@ -530,7 +532,7 @@
             mFirstTable.countDown();
             LOG.info("table %d is in force", document.version());
         } catch (IllegalArgumentException e) {
-            LOG.error("table " + document.version() + " cannot be read", e);
+            LOG.error("table " + document.version() + " cannot be parsed and is not applied", e);
         }
         follow();
     }
@@ -564,7 +566,7 @@
         HostPort voter = mLinks.remove(link);
         if (voter != null) {
             mQuotaRequests.lost(voter, link);
-            LOG.info("voter at %s is lost", voter);
+            LOG.info("lost the connection to the voter at %s", voter);
         }
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/HostPort.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/HostPort.java
@@ -25,13 +25,15 @@
     public static HostPort parse(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0) {
-            throw new IllegalArgumentException("'" + text + "' is no address; give host:port");
+            throw new IllegalArgumentException(
+                    "'" + text + "' is not an address; expected host:port");
         }
         try {
             return new HostPort(
                     text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException("'" + text + "' has no port; give host:port", e);
+            throw new IllegalArgumentException(
+                    "'" + text + "' has no numeric port; expected host:port", e);
         }
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/Link.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/Link.java
@@ -86,7 +86,7 @@
                 receive(readFrame(in));
             }
         } catch (IOException e) {
-            logEnd("cannot be read", e);
+            logEnd("read failed", e);
         } finally {
             close();
             mHandler.closed(this);
@@ -96,11 +96,11 @@
     private static byte[] readFrame(DataInputStream in) throws IOException {
         int length = in.readInt();
         if (length <= 0 || length > MAX_FRAME_BYTES) {
-            throw new IOException("a frame of " + length + " bytes");
+            throw new IOException("invalid frame length of " + length + " bytes");
         }
         byte[] frame = in.readNBytes(length);
         if (frame.length < length) {
-            throw new IOException("a frame was cut off");
+            throw new IOException("connection closed in the middle of a frame");
         }
         return frame;
     }
@@ -124,7 +124,9 @@
     private void refused(String what) {
         mRefusals++;
         if (Long.bitCount(mRefusals) == 1) {
-            LOG.warn("from %s, %d refused so far: %s", peer(), mRefusals, printable(what));
+            LOG.warn(
+                    "rejected data from %s (%d rejections so far): %s",
+                    peer(), mRefusals, printable(what));
         }
     }
 
@@ -144,7 +146,7 @@
                 out.write((frame == null ? KEEP_ALIVE_FRAME : frame).bytes());
             }
         } catch (IOException e) {
-            logEnd("cannot be written", e);
+            logEnd("write failed", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
@@ -162,7 +164,9 @@
      */
     void send(Frame frame) {
         if (!mQueue.offer(frame)) {
-            LOG.info("link with %s ends: %d messages wait", peer(), MAX_QUEUED);
+            LOG.info(
+                    "link to %s closed: peer reads too slowly, %d messages queued",
+                    peer(), MAX_QUEUED);
             close();
         }
     }
@@ -173,7 +177,7 @@
      */
     private void logEnd(String what, IOException e) {
         if (isOpen()) {
-            LOG.info("link with %s ends: %s: %s", peer(), what, e);
+            LOG.info("link to %s closed: %s: %s", peer(), what, e);
         }
     }
 
@@ -193,7 +197,7 @@
         try {
             mSocket.close();
         } catch (IOException e) {
-            LOG.debug("the socket of %s cannot be closed: %s", peer(), e);
+            LOG.debug("cannot close the socket of %s: %s", peer(), e);
         }
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/LinkServer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/LinkServer.java
@@ -50,7 +50,7 @@
                 Thread.ofVirtual().name("link-reader").start(link::run);
             } catch (IOException e) {
                 if (!mSocket.isClosed()) {
-                    LOG.warn("a link was not taken: %s", e);
+                    LOG.warn("cannot accept a connection: %s", e);
                 }
             }
         }
@@ -61,7 +61,7 @@
         try {
             mSocket.close();
         } catch (IOException e) {
-            LOG.warn("the listener was not closed: %s", e);
+            LOG.warn("cannot close the listening socket: %s", e);
         }
         awaitEnd();
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/PeerRecords.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/PeerRecords.java
@@ -55,7 +55,8 @@
      */
     static Member requireUsable(Member sender) throws IOException {
         if (!isUsable(sender)) {
-            throw new IOException("a frame of a voter at no address: " + sender);
+            throw new IOException(
+                    "malformed frame: sender without a usable identity or address: " + sender);
         }
         return sender;
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/Persister.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/Persister.java
@@ -121,13 +121,13 @@
             mWriter.write(value);
             if (mRefused) {
                 mRefused = false;
-                LOG.info("the disk takes writes again");
+                LOG.info("disk writes succeed again");
             }
             return true;
         } catch (IOException e) {
             if (!mRefused) {
                 mRefused = true;
-                LOG.warn("the disk refuses a write, trying on: %s", e);
+                LOG.warn("disk write failed and will be retried: %s", e);
             }
             return false;
         }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/QuotaRequests.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/QuotaRequests.java
@@ -147,7 +147,7 @@
     private void learnOwner(QuotaReply reply) {
         HostPort named = reply.owner().isEmpty() ? null : HostPort.parse(reply.owner());
         if (named != null && !named.equals(mOwner)) {
-            LOG.info("%s owns the limits of accounts", named);
+            LOG.info("%s is now the quota owner", named);
         }
         mOwner = named;
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/RecordFile.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/RecordFile.java
@@ -63,7 +63,7 @@
             byte[] body = mFile.read().orElse(null);
             return body == null ? List.of() : mCodec.decode(body);
         } catch (IOException e) {
-            LOG.warn("the file of %s cannot be read: %s", mName, e);
+            LOG.warn("cannot read the %s file, starting without its records: %s", mName, e);
             return List.of();
         }
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/ServiceGate.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/ServiceGate.java
@@ -73,7 +73,8 @@
         mRefusals++;
         if (mTable != null && Long.bitCount(mRefusals) == 1) {
             LOG.warn(
-                    "upstream %s is not used: no service %s in table %d; name it there; %d so far",
+                    "upstream %s is not used: its service %s is not in table %d; add it there"
+                            + " (%d held back so far)",
                     registration.id(), registration.service(), mTable.version(), mRefusals);
         }
     }
@@ -96,7 +97,11 @@
         try {
             return Optional.of(mParser.parse(state.tableDocument()));
         } catch (IllegalArgumentException e) {
-            LOG.error("table " + state.tableVersion() + " cannot be read", e);
+            LOG.error(
+                    "table "
+                            + state.tableVersion()
+                            + " cannot be parsed; the known services stay as they are",
+                    e);
             return Optional.empty();
         }
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/StageController.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/StageController.java
@@ -203,7 +203,7 @@
                         .filter(incarnation -> incarnation.provesEndOf(ordered))
                         .findAny();
         if (next.isPresent()) {
-            LOG.info("engine %s has started again as %s; its order ends", ordered, next.get());
+            LOG.info("engine %s has restarted as %s; its order is dropped", ordered, next.get());
             mStartedAgain.set(true);
             mPending = null;
         }
@@ -251,7 +251,7 @@
         mStartedAgain = startedAgain;
         BooleanSupplier maySend = () -> !startedAgain.get() && stillHeld.getAsBoolean();
         LOG.info(
-                "engine %s at %s is to be %s, fence %d",
+                "ordering engine %s at %s to change to stage %s, fencing token %d",
                 order.engine().id(), order.engine().address(), order.stage(), order.fence());
         Thread.ofVirtual().name("order").start(() -> call(order, maySend, nowNanos));
     }
@@ -264,7 +264,7 @@
                     mOrders.changeStage(
                             order, stillHeld, stated -> observe(order.engine(), stated));
         } finally {
-            LOG.info("engine %s: order %s", order.engine().id(), result);
+            LOG.info("engine %s: result of the order is %s", order.engine().id(), result);
             mEnded.set(new Ended(order, result, givenNanos));
             // Must come last: once this is false, the voter's thread reads the result.
             mCalling.set(false);
@@ -287,7 +287,7 @@
             }
             case FENCED -> mFenced = ended.order().fence() == mTerm;
             case UNKNOWN -> mRestUntilNanos = ended.givenNanos() + WAIT_FOR_DONE.toNanos();
-            default -> throw new IllegalStateException("unknown result " + ended.result());
+            default -> throw new IllegalStateException("unexpected order result " + ended.result());
         }
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/TaskThread.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/TaskThread.java
@@ -38,7 +38,7 @@
         try {
             mExecutor.execute(() -> guarded(task));
         } catch (RejectedExecutionException e) {
-            mLog.debug("a task came after the end: %s", e);
+            mLog.debug("task dropped because the node is closed: %s", e);
         }
     }
 
@@ -57,7 +57,7 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            mLog.error("a task failed", e);
+            mLog.error("task failed with an unexpected exception", e);
         }
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/TwoSlotFile.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/TwoSlotFile.java
@@ -93,20 +93,22 @@
         }
         ByteBuffer bytes = ByteBuffer.wrap(Files.readAllBytes(file));
         if (bytes.remaining() < HEAD_BYTES || bytes.getInt() != MAGIC || bytes.getInt() != FORMAT) {
-            LOG.warn("%s holds no whole state", file);
+            LOG.warn("%s ignored: no state file of a known format", file);
             return null;
         }
         long generation = bytes.getLong();
         long checksum = bytes.getLong();
         int length = bytes.getInt();
         if (length < 0 || length > bytes.remaining()) {
-            LOG.warn("%s is cut off at offset %d", file, bytes.limit());
+            LOG.warn("%s ignored: truncated at offset %d", file, bytes.limit());
             return null;
         }
         byte[] body = new byte[length];
         bytes.get(body);
         if (checksum(generation, body) != checksum) {
-            LOG.warn("%s is damaged between offsets %d and %d", file, HEAD_BYTES, bytes.position());
+            LOG.warn(
+                    "%s ignored: checksum mismatch between offsets %d and %d",
+                    file, HEAD_BYTES, bytes.position());
             return null;
         }
         return new Slot(generation, body);
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/UpstreamLimitCodec.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/UpstreamLimitCodec.java
@@ -82,7 +82,7 @@
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(body)) {
             return read(in);
         } catch (MessagePackException | IllegalArgumentException e) {
-            throw new IOException("garbled limits of upstreams: " + e.getMessage(), e);
+            throw new IOException("malformed upstream limits: " + e.getMessage(), e);
         }
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterCrashes.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterCrashes.java
@@ -35,7 +35,7 @@
         List<CrashRecord> records = file.read();
         mRegistry.merge(records);
         if (!records.isEmpty()) {
-            LOG.info("%d crash records are on disk", records.size());
+            LOG.info("loaded %d crash records from disk", records.size());
         }
     }
 
@@ -61,7 +61,7 @@
         if (!mRegistry.find(fingerprint).isQuarantined()) {
             return false;
         }
-        LOG.info("the quarantine of %s is lifted by an operator", fingerprint);
+        LOG.info("quarantine of request %s lifted by an operator", fingerprint);
         passOn(mRegistry.clear(fingerprint).stream().toList());
         return true;
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterLimits.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterLimits.java
@@ -40,7 +40,7 @@
         List<UpstreamLimit> limits = file.read();
         mLimits.merge(limits);
         if (!limits.isEmpty()) {
-            LOG.info("%d limits of upstreams are on disk", limits.size());
+            LOG.info("loaded %d upstream limits from disk", limits.size());
         }
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterNode.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterNode.java
@@ -135,7 +135,7 @@
         mTasks.every(TICK_MILLIS, this::tick);
         mTasks.every(NOTICE_MILLIS, this::refresh);
         LOG.info(
-                "replica %s holds entry %s with table %d",
+                "replica %s starts at consensus entry %s with table %d",
                 mSelf.id(), durable.entry(), durable.state().tableVersion());
     }
 
@@ -166,7 +166,9 @@
                     GroupState newest = mReplica.state();
                     boolean same = version == newest.tableVersion();
                     if (version > newest.tableVersion()) {
-                        LOG.info("table %d replaces %d", version, newest.tableVersion());
+                        LOG.info(
+                                "proposing table %d to replace table %d",
+                                version, newest.tableVersion());
                         mReplica.propose(
                                 newest.withTable(version, document),
                                 committed -> done.accept(accepted(committed, version)));
@@ -441,7 +443,7 @@
 
     private static void logChange(Registration changed) {
         LOG.info(
-                "upstream %s of %s at %s is %s, stage %s, sequence %d",
+                "upstream %s of service %s at %s is %s, stage %s, sequence %d",
                 changed.id(),
                 changed.service(),
                 changed.address(),
@@ -505,7 +507,7 @@
     private void onGreeting(Link link, Greeting greeting) {
         if (greeting.protocol() != PROTOCOL) {
             LOG.warn(
-                    "%s speaks protocol %d; its link is closed",
+                    "closing the link to %s: unsupported protocol version %d",
                     greeting.node(), greeting.protocol());
             link.close();
             return;
@@ -683,14 +685,14 @@
             boolean voters = !state.members().equals(mCommitted.members());
             mCommitted = state;
             if (changed) {
-                LOG.info("table %d is committed at %s", state.tableVersion(), entry);
+                LOG.info("table %d committed as consensus entry %s", state.tableVersion(), entry);
                 mLinks.sendToEntries(notice());
                 if (mGate != null) {
                     followServices(mGate, state);
                 }
             }
             if (voters) {
-                LOG.info("voters are %s", state.members());
+                LOG.info("voters are now %s", state.members());
                 state.members().forEach(VoterNode.this::learn);
             }
         }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterQuota.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterQuota.java
@@ -104,8 +104,8 @@
 
     private static void logUse(QuotaUse use) {
         LOG.info(
-                "%s: %d granted with %d units, %d refused in the last second; limit %d:"
-                        + " %.1f a second and %.1f at once",
+                "%s: %d requests granted with %d units, %d refused in the last second; limit"
+                        + " version %d: %.1f units/s, burst %.1f",
                 use.key().replace('\0', ' '),
                 use.granted(),
                 use.grantedUnits(),
