--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/BadFrameTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/BadFrameTest.java
@@ -29,7 +29,7 @@
 import org.orchidmount.cluster.ClusterMessage.Greeting;
 import org.orchidmount.cluster.ClusterMessage.InFlightSequences;
 import org.orchidmount.cluster.ClusterMessage.Registrations;
-import org.orchidmount.cluster.ClusterMessage.RegistrationsHeld;
+import org.orchidmount.cluster.ClusterMessage.RegistrationsAck;
 import org.orchidmount.cluster.ClusterMessage.Voters;
 import org.orchidmount.consensus.Member;
 import org.orchidmount.junit.Await;
@@ -131,9 +131,9 @@
         assertThrows(IOException.class, () -> ClusterCodec.decode(unreadable));
         send(GREETING);
         send(unreadable);
-        send(new RegistrationsHeld(7));
-        Await.until("the next", LONGEST, () -> mReceived.contains(new RegistrationsHeld(7)));
-        assertThat(mReceived).containsExactly(GREETING, new RegistrationsHeld(7)).inOrder();
+        send(new RegistrationsAck(7));
+        Await.until("the next", LONGEST, () -> mReceived.contains(new RegistrationsAck(7)));
+        assertThat(mReceived).containsExactly(GREETING, new RegistrationsAck(7)).inOrder();
         assertThat(mClosed).isEmpty();
     }
 
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/ClusterCodecTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/ClusterCodecTest.java
@@ -54,7 +54,7 @@
                 new ClusterMessage.TableNotice(5, true, 8),
                 new ClusterMessage.TableRequest(),
                 new ClusterMessage.Registrations(3, List.of(engine("i-1"))),
-                new ClusterMessage.RegistrationsHeld(3),
+                new ClusterMessage.RegistrationsAck(3),
                 new ClusterMessage.QuotaRequest(
                         7,
                         new QuotaAsk(
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/ControlPinTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/ControlPinTest.java
@@ -138,7 +138,8 @@
         for (long millis = 0; millis < 50_000; millis += 50) {
             long term = millis < 30_000 ? 7 : 8;
             controller.tick(term, engines(6, prefill), List.of(), () -> true, millis * 1_000_000);
-            Await.until("order ended", Duration.ofSeconds(10), () -> !controller.isCalling());
+            Await.until(
+                    "order ended", Duration.ofSeconds(10), () -> !controller.isOrderInProgress());
             StageOrders.Order order = given.getAndSet(null);
             if (order != null) {
                 lines.add(
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/PendingDeparturesTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/PendingDeparturesTest.java
@@ -31,7 +31,7 @@
         departures.complete(number, quorum);
         for (String voter : replies.split(" ")) {
             if (!voter.isEmpty()) {
-                departures.held(number, new HostPort(voter, 1), quorum);
+                departures.acknowledge(number, new HostPort(voter, 1), quorum);
             }
         }
         assertThat(done.isDone()).isEqualTo(isConfirmed);
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/ServiceGateTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/ServiceGateTest.java
@@ -53,47 +53,47 @@
 
     @Test
     void whatWaitsIsReleasedOnceByTheTableThatNamesItsService() {
-        mGate.await(registration("i-1", "s", 1));
-        mGate.await(registration("i-1", "other", 900));
-        mGate.await(registration("i-1", "s", 2));
-        assertThat(mGate.follow(table(3, "t"))).isEmpty();
-        assertThat(mGate.follow(table(4, "s"))).containsExactly(registration("i-1", "s", 2));
+        mGate.holdBack(registration("i-1", "s", 1));
+        mGate.holdBack(registration("i-1", "other", 900));
+        mGate.holdBack(registration("i-1", "s", 2));
+        assertThat(mGate.apply(table(3, "t"))).isEmpty();
+        assertThat(mGate.apply(table(4, "s"))).containsExactly(registration("i-1", "s", 2));
         assertThat(mGate.isNamed("s")).isTrue();
         assertThat(mGate.isNamed("other")).isFalse();
-        assertThat(mGate.follow(table(5, "s"))).isEmpty();
+        assertThat(mGate.apply(table(5, "s"))).isEmpty();
     }
 
     /** Tables are read on other threads, which may end in another order. */
     @Test
     void aTableThatWasReadLateChangesNothing() {
-        mGate.await(registration("i-1", "old", 1));
-        assertThat(mGate.follow(table(4, "s"))).isEmpty();
-        assertThat(mGate.follow(table(3, "old"))).isEmpty();
+        mGate.holdBack(registration("i-1", "old", 1));
+        assertThat(mGate.apply(table(4, "s"))).isEmpty();
+        assertThat(mGate.apply(table(3, "old"))).isEmpty();
         assertThat(mGate.isNamed("s")).isTrue();
         assertThat(mGate.isNamed("old")).isFalse();
     }
 
     @Test
     void whatHasLeftNoLongerWaits() {
-        mGate.await(registration("i-1", "s", 1));
-        mGate.await(registration("i-2", "s", 1));
-        mGate.leave("i-1");
-        assertThat(mGate.follow(table(4, "s"))).containsExactly(registration("i-2", "s", 1));
+        mGate.holdBack(registration("i-1", "s", 1));
+        mGate.holdBack(registration("i-2", "s", 1));
+        mGate.remove("i-1");
+        assertThat(mGate.apply(table(4, "s"))).containsExactly(registration("i-2", "s", 1));
     }
 
     @Test
     void thoseThatHaveWaitedLongestGiveWay() {
         for (int i = 0; i < MANY; i++) {
-            mGate.await(registration("i-" + i, "s", 1));
+            mGate.holdBack(registration("i-" + i, "s", 1));
         }
-        List<Registration> released = mGate.follow(table(4, "s"));
+        List<Registration> released = mGate.apply(table(4, "s"));
         assertThat(released).hasSize(10_000);
         assertThat(released.getLast()).isEqualTo(registration("i-" + (MANY - 1), "s", 1));
     }
 
     @Test
     void aTableThatCannotBeReadIsNone() {
-        assertThat(mGate.read(new GroupState(List.of(), 4, new byte[1]))).isEmpty();
-        assertThat(mGate.read(new GroupState(List.of(), 0, new byte[0]))).isEmpty();
+        assertThat(mGate.parse(new GroupState(List.of(), 4, new byte[1]))).isEmpty();
+        assertThat(mGate.parse(new GroupState(List.of(), 0, new byte[0]))).isEmpty();
     }
 }
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/StageControllerTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/StageControllerTest.java
@@ -107,15 +107,15 @@
         while (orders.isEmpty()) {
             controller.tick(TERM, ENGINES, List.of(), () -> true, millis * MILLI);
             millis += 50;
-            Await.until("asked", WAIT, () -> !orders.isEmpty() || !controller.isCalling());
+            Await.until("asked", WAIT, () -> !orders.isEmpty() || !controller.isOrderInProgress());
         }
         controller.tick(TERM + 1, ENGINES, List.of(), () -> true, millis * MILLI);
         answer.countDown();
-        Await.until("ended", WAIT, () -> !controller.isCalling());
+        Await.until("ended", WAIT, () -> !controller.isOrderInProgress());
         orders.clear();
         for (long end = millis + 60_000; millis < end && orders.isEmpty(); millis += 50) {
             controller.tick(TERM + 1, ENGINES, List.of(), () -> true, millis * MILLI);
-            Await.until("ended", WAIT, () -> !controller.isCalling());
+            Await.until("ended", WAIT, () -> !controller.isOrderInProgress());
         }
         assertThat(orders.poll(10, TimeUnit.SECONDS).fence()).isEqualTo(TERM + 1);
     }
@@ -168,7 +168,7 @@
         while (held.isEmpty()) {
             controller.tick(TERM, ENGINES, List.of(), () -> true, millis * MILLI);
             millis += 50;
-            Await.until("asked", WAIT, () -> !held.isEmpty() || !controller.isCalling());
+            Await.until("asked", WAIT, () -> !held.isEmpty() || !controller.isOrderInProgress());
         }
         BooleanSupplier stillHeld = held.remove();
         controller.tick(TERM, ENGINES, List.of(), () -> true, millis * MILLI);
@@ -178,7 +178,7 @@
         controller.tick(TERM, engines, List.of(), () -> true, millis * MILLI);
         assertThat(stillHeld.getAsBoolean()).isFalse();
         answer.countDown();
-        Await.until("ended", WAIT, () -> !controller.isCalling());
+        Await.until("ended", WAIT, () -> !controller.isOrderInProgress());
     }
 
     private static List<Registration> startedAgain(String id) {
@@ -238,7 +238,7 @@
         clock.advance(Duration.ofMillis(50));
         assertThat(clock.nanoTime()).isLessThan(Duration.ofMinutes(5).toNanos());
         controller.tick(TERM, ENGINES, List.of(), () -> true, clock.nanoTime());
-        Await.until("order ended", WAIT, () -> !controller.isCalling());
+        Await.until("order ended", WAIT, () -> !controller.isOrderInProgress());
     }
 
     private static VoterConfig.Stages stages(StageOrders orders) {
@@ -254,7 +254,8 @@
     private void pass(long term, long millis, List<Registration> engines) {
         for (long end = mNowMillis + millis; mNowMillis < end; mNowMillis += 50) {
             mController.tick(term, engines, List.of(), () -> true, mNowMillis * MILLI);
-            Await.until("order ended", Duration.ofSeconds(10), () -> !mController.isCalling());
+            Await.until(
+                    "order ended", Duration.ofSeconds(10), () -> !mController.isOrderInProgress());
         }
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/ClusterCodec.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/ClusterCodec.java
@@ -28,7 +28,7 @@
 import org.orchidmount.cluster.ClusterMessage.QuotaRequest;
 import org.orchidmount.cluster.ClusterMessage.QuotaReturn;
 import org.orchidmount.cluster.ClusterMessage.Registrations;
-import org.orchidmount.cluster.ClusterMessage.RegistrationsHeld;
+import org.orchidmount.cluster.ClusterMessage.RegistrationsAck;
 import org.orchidmount.cluster.ClusterMessage.Replication;
 import org.orchidmount.cluster.ClusterMessage.TableDocument;
 import org.orchidmount.cluster.ClusterMessage.TableNotice;
@@ -62,12 +62,12 @@
      * Largest number of elements of a list in a frame; the target deployment has some 8,000
      * upstreams.
      */
-    private static final int MAX_LIST = 100_000;
+    private static final int MAX_LIST_ELEMENTS = 100_000;
 
     /** Largest route table document after decompression. */
     private static final int MAX_DOCUMENT_BYTES = 64 * 1024 * 1024;
 
-    private static final int INFLATE_STEP_BYTES = 16 * 1024;
+    private static final int BUFFER_BYTES = 16 * 1024;
 
     /** Type numbers of frames, part of the protocol. */
     private static final int GREETING = 1;
@@ -78,8 +78,8 @@
     private static final int TABLE_REQUEST = 5;
     private static final int TABLE_DOCUMENT = 6;
     private static final int REGISTRATIONS = 7;
-    private static final int REGISTRATIONS_HELD = 8;
-    private static final int ENGINE_RUNS = 9;
+    private static final int REGISTRATIONS_ACK = 8;
+    private static final int IN_FLIGHT_SEQUENCES = 9;
     private static final int QUOTA_REQUEST = 10;
     private static final int QUOTA_REPLY = 11;
     private static final int QUOTA_RETURN = 12;
@@ -113,12 +113,12 @@
      * Decodes a message. Unusable elements of a list are skipped.
      *
      * @param frame the encoded message
-     * @param refusals receives a description of each skipped element
+     * @param rejections receives a description of each skipped element
      * @throws IOException if the frame cannot be decoded
      */
-    static ClusterMessage decode(byte[] frame, Consumer<String> refusals) throws IOException {
+    static ClusterMessage decode(byte[] frame, Consumer<String> rejections) throws IOException {
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(frame)) {
-            return read(in, refusals);
+            return read(in, rejections);
         } catch (MessagePackException | IllegalArgumentException e) {
             throw new IOException("malformed frame: " + e.getMessage(), e);
         }
@@ -137,8 +137,8 @@
             out.packLong(reply.answer().comeBackAfter().toNanos()).packString(reply.owner());
         } else if (message instanceof Registrations registrations) {
             writeRegistrations(out, registrations);
-        } else if (message instanceof RegistrationsHeld held) {
-            out.packInt(REGISTRATIONS_HELD).packLong(held.number());
+        } else if (message instanceof RegistrationsAck held) {
+            out.packInt(REGISTRATIONS_ACK).packLong(held.number());
         } else if (message instanceof QuotaReturn units) {
             out.packInt(QUOTA_RETURN).packString(units.key()).packLong(units.units());
         } else if (message instanceof CrashRecords crashes) {
@@ -151,7 +151,7 @@
             out.packInt(KEEP_ALIVE);
         } else if (message instanceof TableNotice notice) {
             out.packInt(TABLE_NOTICE).packLong(notice.version());
-            out.packBoolean(notice.inTouch()).packInt(notice.entries());
+            out.packBoolean(notice.hasQuorum()).packInt(notice.entries());
         } else if (message instanceof TableRequest) {
             out.packInt(TABLE_REQUEST);
         } else if (message instanceof TableDocument table) {
@@ -263,13 +263,14 @@
         }
     }
 
-    private static ClusterMessage read(MessageUnpacker in, Consumer<String> refusals)
+    private static ClusterMessage read(MessageUnpacker in, Consumer<String> rejections)
             throws IOException {
         int type = in.unpackInt();
         return switch (type) {
             case GREETING -> readGreeting(in);
             case KEEP_ALIVE -> new KeepAlive();
-            case VOTERS -> new Voters(usable(readMembers(in), PeerRecords::isUsable, refusals));
+            case VOTERS ->
+                    new Voters(usable(readMembers(in), PeerRecordValidator::isUsable, rejections));
             case TABLE_NOTICE ->
                     new TableNotice(in.unpackLong(), in.unpackBoolean(), in.unpackInt());
             case TABLE_REQUEST -> new TableRequest();
@@ -286,15 +287,15 @@
                     registrations.set(i, read.by(incarnation(read.id(), starts.get(i))));
                 }
                 yield new Registrations(
-                        number, usable(registrations, ClusterCodec::isUsable, refusals));
+                        number, usable(registrations, ClusterCodec::isUsable, rejections));
             }
-            case REGISTRATIONS_HELD -> new RegistrationsHeld(in.unpackLong());
+            case REGISTRATIONS_ACK -> new RegistrationsAck(in.unpackLong());
             case CRASH_RECORDS -> new CrashRecords(CrashRecordCodec.read(in));
             case UPSTREAM_LIMITS -> new UpstreamLimitRecords(UpstreamLimitCodec.read(in));
             case QUOTA_REQUEST -> readQuotaRequest(in);
             case QUOTA_REPLY -> readQuotaReply(in);
             case QUOTA_RETURN -> new QuotaReturn(in.unpackString(), readCount(in));
-            case ENGINE_RUNS -> {
+            case IN_FLIGHT_SEQUENCES -> {
                 List<InFlightSequence> sequences = new ArrayList<>();
                 for (int left = readSize(in); left > 0; left--) {
                     sequences.add(readSequence(in));
@@ -304,20 +305,21 @@
                     InFlightSequence read = sequences.get(i);
                     sequences.set(i, read.at(incarnation(read.upstreamId(), starts.get(i))));
                 }
-                yield new InFlightSequences(usable(sequences, PeerRecords::isUsable, refusals));
+                yield new InFlightSequences(
+                        usable(sequences, PeerRecordValidator::isUsable, rejections));
             }
             default -> readReplication(in, type);
         };
     }
 
     private static <T> List<T> usable(
-            List<T> entries, Predicate<T> isUsable, Consumer<String> refusals) {
+            List<T> entries, Predicate<T> isUsable, Consumer<String> rejections) {
         List<T> usable = new ArrayList<>(entries.size());
         for (T entry : entries) {
             if (isUsable.test(entry)) {
                 usable.add(entry);
             } else {
-                refusals.accept("skipped unusable list element: " + entry);
+                rejections.accept("skipped unusable list element: " + entry);
             }
         }
         return usable;
@@ -330,14 +332,15 @@
     private static Greeting readGreeting(MessageUnpacker in) throws IOException {
         int protocol = in.unpackInt();
         String node = in.unpackString();
-        Member voter = in.unpackBoolean() ? PeerRecords.requireUsable(readMember(in)) : null;
+        Member voter =
+                in.unpackBoolean() ? PeerRecordValidator.requireUsable(readMember(in)) : null;
         String zone = in.hasNext() ? in.unpackString() : "";
         int capabilities = in.hasNext() ? in.unpackInt() : 0;
         return new Greeting(protocol, node, zone, voter, Capability.fromBits(capabilities));
     }
 
     private static Replication readReplication(MessageUnpacker in, int type) throws IOException {
-        Member sender = PeerRecords.requireUsable(readMember(in));
+        Member sender = PeerRecordValidator.requireUsable(readMember(in));
         long term = in.unpackLong();
         ReplicaMessage message =
                 switch (type) {
@@ -500,7 +503,7 @@
 
     private static void writeSequences(MessageBufferPacker out, List<InFlightSequence> sequences)
             throws IOException {
-        out.packInt(ENGINE_RUNS).packArrayHeader(sequences.size());
+        out.packInt(IN_FLIGHT_SEQUENCES).packArrayHeader(sequences.size());
         for (InFlightSequence sequence : sequences) {
             out.packString(sequence.upstreamId()).packString(sequence.id());
             out.packInt(sequence.promptTokens()).packInt(sequence.expectedTokens());
@@ -523,7 +526,7 @@
 
     private static boolean isUsable(Registration registration) {
         boolean isKnown = registration.stage() != null && registration.state() != null;
-        return isKnown && PeerRecords.isUsable(registration);
+        return isKnown && PeerRecordValidator.isUsable(registration);
     }
 
     private static <T> T constantOrNull(T[] values, int ordinal) {
@@ -548,7 +551,7 @@
 
     private static int readSize(MessageUnpacker in) throws IOException {
         int size = in.unpackArrayHeader();
-        if (size > MAX_LIST) {
+        if (size > MAX_LIST_ELEMENTS) {
             throw new IOException("malformed frame: too many list elements: " + size);
         }
         return size;
@@ -563,31 +566,31 @@
         try {
             deflater.setInput(document);
             deflater.finish();
-            ByteArrayOutputStream packed = new ByteArrayOutputStream();
-            byte[] step = new byte[INFLATE_STEP_BYTES];
+            ByteArrayOutputStream compressed = new ByteArrayOutputStream();
+            byte[] buffer = new byte[BUFFER_BYTES];
             while (!deflater.finished()) {
-                packed.write(step, 0, deflater.deflate(step));
+                compressed.write(buffer, 0, deflater.deflate(buffer));
             }
-            out.packBinaryHeader(packed.size()).writePayload(packed.toByteArray());
+            out.packBinaryHeader(compressed.size()).writePayload(compressed.toByteArray());
         } finally {
             deflater.end();
         }
     }
 
     private static byte[] readDocument(MessageUnpacker in) throws IOException {
-        byte[] packed = in.readPayload(in.unpackBinaryHeader());
+        byte[] compressed = in.readPayload(in.unpackBinaryHeader());
         Inflater inflater = new Inflater();
         try {
-            inflater.setInput(packed);
+            inflater.setInput(compressed);
             ByteArrayOutputStream document = new ByteArrayOutputStream();
-            byte[] step = new byte[INFLATE_STEP_BYTES];
+            byte[] buffer = new byte[BUFFER_BYTES];
             while (!inflater.finished()) {
-                int count = inflater.inflate(step);
-                boolean stuck = count == 0 && !inflater.finished();
-                if (stuck || document.size() + count > MAX_DOCUMENT_BYTES) {
+                int count = inflater.inflate(buffer);
+                boolean isTruncated = count == 0 && !inflater.finished();
+                if (isTruncated || document.size() + count > MAX_DOCUMENT_BYTES) {
                     throw new IOException("malformed frame: table document truncated or too large");
                 }
-                document.write(step, 0, count);
+                document.write(buffer, 0, count);
             }
             return document.toByteArray();
         } catch (DataFormatException e) {
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/ClusterMessage.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/ClusterMessage.java
@@ -46,7 +46,7 @@
         }
 
         /** Returns whether the sender supports a capability. */
-        boolean knows(Capability capability) {
+        boolean supports(Capability capability) {
             return capabilities.contains(capability);
         }
     }
@@ -95,10 +95,10 @@
      * Announces the version of the committed route table to an entry.
      *
      * @param version the table's version, 0 if there is none
-     * @param inTouch whether the sender has contact with a quorum
+     * @param hasQuorum whether the sender has contact with a quorum
      * @param entries the number of entries linked to the sender
      */
-    record TableNotice(long version, boolean inTouch, int entries) implements ClusterMessage {}
+    record TableNotice(long version, boolean hasQuorum, int entries) implements ClusterMessage {}
 
     /** Request for the committed route table. */
     record TableRequest() implements ClusterMessage {}
@@ -139,7 +139,7 @@
     }
 
     /** Acknowledges the departures of a {@link Registrations} message. */
-    record RegistrationsHeld(long number) implements ClusterMessage {}
+    record RegistrationsAck(long number) implements ClusterMessage {}
 
     /**
      * Requests units of a limit from the owner of the token buckets.
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/Dialer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/Dialer.java
@@ -25,12 +25,12 @@
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
 
     /** Delay before the first reconnection attempt; doubled after each failed attempt. */
-    private static final long FIRST_PAUSE_MILLIS = 80;
+    private static final long MIN_BACKOFF_MILLIS = 80;
 
     /**
      * Upper bound of the backoff; short, so that a link is restored soon after its path recovers.
      */
-    private static final long LONGEST_PAUSE_MILLIS = 800;
+    private static final long MAX_BACKOFF_MILLIS = 800;
 
     private final HostPort mAddress;
     private final Greeting mGreeting;
@@ -47,18 +47,19 @@
     }
 
     private void keepOpen() {
-        long pauseMillis = FIRST_PAUSE_MILLIS;
+        long backoffMillis = MIN_BACKOFF_MILLIS;
         while (!mClosed) {
             if (connect()) {
-                pauseMillis = FIRST_PAUSE_MILLIS;
+                backoffMillis = MIN_BACKOFF_MILLIS;
             }
             try {
                 Thread.sleep(
-                        pauseMillis + ThreadLocalRandom.current().nextLong(pauseMillis / 2 + 1));
+                        backoffMillis
+                                + ThreadLocalRandom.current().nextLong(backoffMillis / 2 + 1));
             } catch (InterruptedException e) {
                 return;
             }
-            pauseMillis = Math.min(LONGEST_PAUSE_MILLIS, 2 * pauseMillis);
+            backoffMillis = Math.min(MAX_BACKOFF_MILLIS, 2 * backoffMillis);
         }
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/EntryNode.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/EntryNode.java
@@ -24,7 +24,7 @@
 import org.orchidmount.cluster.ClusterMessage.KeepAlive;
 import org.orchidmount.cluster.ClusterMessage.QuotaReply;
 import org.orchidmount.cluster.ClusterMessage.Registrations;
-import org.orchidmount.cluster.ClusterMessage.RegistrationsHeld;
+import org.orchidmount.cluster.ClusterMessage.RegistrationsAck;
 import org.orchidmount.cluster.ClusterMessage.TableDocument;
 import org.orchidmount.cluster.ClusterMessage.TableNotice;
 import org.orchidmount.cluster.ClusterMessage.TableRequest;
@@ -70,33 +70,33 @@
      * Interval of progress announcements; other instances discard a sequence after three missed
      * announcements.
      */
-    private static final long ANNOUNCE_AGAIN_MILLIS = 1_500;
+    private static final long ANNOUNCE_INTERVAL_MILLIS = 1_500;
 
     /** Minimum interval between two requests for a table. */
-    private static final Duration REQUEST_AGAIN_AFTER = Duration.ofMillis(250);
+    private static final Duration TABLE_REQUEST_INTERVAL = Duration.ofMillis(250);
 
     /**
      * Retention of the registration of an upstream that has left. Shorter than at voters: these
      * forward a new registration only once, so an entry must not reject one that a voter has
      * accepted.
      */
-    private static final Duration REMEMBER_FOR = Duration.ofMinutes(9);
+    private static final Duration DEPARTURE_RETENTION = Duration.ofMinutes(9);
 
     /** Time after which a silent voter is no longer dialled. */
-    private static final Duration FORGET_VOTER_AFTER = Duration.ofSeconds(30);
+    private static final Duration VOTER_RETENTION = Duration.ofSeconds(30);
 
     /** Time after which an entry serves from a table of a voter that has no quorum. */
-    private static final Duration WAIT_FOR_QUORUM = Duration.ofSeconds(3);
+    private static final Duration QUORUM_WAIT = Duration.ofSeconds(3);
 
     /**
      * Time after the start by which an instance has a table unless its voters cannot be reached:
      * links take some 10 ms to establish, an election after a full restart 0.1 to 0.3 s.
      */
-    private static final Duration TABLE_KNOWN_AFTER = Duration.ofSeconds(1);
+    private static final Duration FIRST_TABLE_WAIT = Duration.ofSeconds(1);
 
     /** Time after which every instance has announced its sequences again, with a margin. */
-    private static final Duration SEQUENCES_KNOWN_AFTER =
-            Duration.ofMillis(ANNOUNCE_AGAIN_MILLIS + 500);
+    private static final Duration SEQUENCES_COMPLETE_AFTER =
+            Duration.ofMillis(ANNOUNCE_INTERVAL_MILLIS + 500);
 
     private final TaskThread mTasks = new TaskThread("entry", LOG);
     private final MonotonicClock mClock;
@@ -113,14 +113,14 @@
 
     private final Map<Link, HostPort> mLinks = new HashMap<>();
     private final Map<Link, Greeting> mGreetings = new HashMap<>();
-    private final Registry mRegistry = new Registry(REMEMBER_FOR.toNanos());
+    private final Registry mRegistry = new Registry(DEPARTURE_RETENTION.toNanos());
     private final Map<String, OwnSequence> mOwnSequences = new HashMap<>();
     private final QuotaRequests mQuotaRequests;
     private final EntryRecords mRecords;
     private final CountDownLatch mFirstTable = new CountDownLatch(1);
     private final long mStartNanos;
-    private long mRequestedNanos;
-    private volatile long mUnlinkedNanos;
+    private long mTableRequestedNanos;
+    private volatile long mLastUnlinkedNanos;
 
     /**
      * Time at which a voter with contact to a quorum last confirmed that the table held is the
@@ -128,10 +128,10 @@
      */
     private volatile long mConfirmedNanos;
 
-    private boolean mConfirmed;
+    private boolean mHasSeenQuorum;
     private volatile RouteTable mTable;
     private volatile boolean mReady;
-    private volatile int mEntries = 1;
+    private volatile int mEntryCount = 1;
 
     /** A sequence placed by this instance, with its current progress. */
     private record OwnSequence(InFlightSequence sequence, IntSupplier generatedTokens) {
@@ -182,11 +182,11 @@
         mQuotaRequests = new QuotaRequests(node.hashCode());
         mRecords = new EntryRecords(node, clock);
         mStartNanos = clock.nanoTime();
-        mRequestedNanos = mStartNanos - REQUEST_AGAIN_AFTER.toNanos();
-        mUnlinkedNanos = mStartNanos;
+        mTableRequestedNanos = mStartNanos - TABLE_REQUEST_INTERVAL.toNanos();
+        mLastUnlinkedNanos = mStartNanos;
         mConfirmedNanos = mStartNanos;
         mTasks.post(() -> mSeeds.forEach(this::dial));
-        mTasks.every(ANNOUNCE_AGAIN_MILLIS, this::announceAgain);
+        mTasks.every(ANNOUNCE_INTERVAL_MILLIS, this::announceProgress);
         mTasks.every(TICK_MILLIS, this::tick);
     }
 
@@ -208,7 +208,7 @@
      * @throws InterruptedException if the thread is interrupted while waiting
      */
     public Optional<RouteTable> awaitTable(Duration longest) throws InterruptedException {
-        long startingNanos = TABLE_KNOWN_AFTER.toNanos() - (mClock.nanoTime() - mStartNanos);
+        long startingNanos = FIRST_TABLE_WAIT.toNanos() - (mClock.nanoTime() - mStartNanos);
         if (mTable == null && startingNanos > 0) {
             mFirstTable.await(Math.min(startingNanos, longest.toNanos()), TimeUnit.NANOSECONDS);
         }
@@ -241,7 +241,7 @@
      * @return the number, at least 1
      */
     public int entries() {
-        return mEntries;
+        return mEntryCount;
     }
 
     /**
@@ -295,7 +295,7 @@
      * Announces the progress of all own sequences; other instances discard sequences that are no
      * longer announced.
      */
-    private void announceAgain() {
+    private void announceProgress() {
         List<InFlightSequence> sequences =
                 mOwnSequences.values().stream().map(OwnSequence::now).toList();
         sequences.forEach(mListener::onSequence);
@@ -306,7 +306,7 @@
 
     @Override
     public boolean isComplete() {
-        return mClock.nanoTime() - mUnlinkedNanos > SEQUENCES_KNOWN_AFTER.toNanos();
+        return mClock.nanoTime() - mLastUnlinkedNanos > SEQUENCES_COMPLETE_AFTER.toNanos();
     }
 
     @Override
@@ -376,7 +376,7 @@
      * Sends the known departures to a voter: after a restart, it may hold these upstreams as ready,
      * as they registered.
      */
-    private void repeatDepartures(Link voter) {
+    private void resendDepartures(Link voter) {
         List<Registration> leaving =
                 mRegistry.all().stream()
                         .filter(held -> held.state() == Registration.State.DRAINING)
@@ -394,16 +394,16 @@
      * @return the client
      */
     public QuotaOwnerClient countingOwner() {
-        return new CountingOwner();
+        return new CountingOwnerClient();
     }
 
-    private final class CountingOwner implements QuotaOwnerClient {
+    private final class CountingOwnerClient implements QuotaOwnerClient {
         @Override
         public CompletableFuture<QuotaAnswer> askOwner(QuotaAsk ask) {
             CompletableFuture<QuotaAnswer> answer = new CompletableFuture<>();
             mTasks.post(
                     () -> {
-                        if (mRecords.allVotersKnow(Capability.UPSTREAM_LIMITS)) {
+                        if (mRecords.allVotersSupport(Capability.UPSTREAM_LIMITS)) {
                             mQuotaRequests.ask(ask, answer);
                         } else {
                             answer.complete(QuotaAnswer.NO_OWNER);
@@ -426,7 +426,7 @@
         if (message instanceof InFlightSequences announced) {
             announced.sequences().forEach(mListener::onSequence);
         } else if (message instanceof QuotaReply reply) {
-            mQuotaRequests.received(reply);
+            mQuotaRequests.onReply(reply);
         } else if (message instanceof Registrations registrations) {
             onRegistrations(link, registrations);
         } else if (message instanceof TableNotice notice) {
@@ -434,7 +434,7 @@
         } else if (message instanceof TableDocument document) {
             apply(document);
         } else if (message instanceof Voters voters) {
-            voters.members().forEach(this::learn);
+            voters.members().forEach(this::addVoter);
         } else if (message instanceof Greeting greeting) {
             onGreeting(link, greeting);
         } else {
@@ -444,10 +444,10 @@
 
     private void onNotice(Link link, TableNotice notice) {
         mNotices.putLast(link, notice);
-        mEntries = Math.max(1, largestEntryCount());
-        follow();
+        mEntryCount = Math.max(1, largestEntryCount());
+        checkTable();
         boolean isNewest = mTable != null && mTable.version() >= notice.version();
-        if (notice.inTouch() && isNewest) {
+        if (notice.hasQuorum() && isNewest) {
             mConfirmedNanos = mClock.nanoTime();
         }
     }
@@ -462,7 +462,7 @@
             changed.ifPresent(mListener::onRegistration);
         }
         if (registrations.isDeparture()) {
-            link.send(new RegistrationsHeld(registrations.number()));
+            link.send(new RegistrationsAck(registrations.number()));
         }
     }
 
@@ -480,15 +480,15 @@
         }
         HostPort voter = HostPort.parse(greeting.voter().address());
         mLinks.put(link, voter);
-        mQuotaRequests.linked(voter, link);
+        mQuotaRequests.onVoterLinked(voter, link);
         mGreetings.put(link, greeting);
         mRecords.linked(link, greeting);
-        repeatDepartures(link);
-        learn(greeting.voter());
+        resendDepartures(link);
+        addVoter(greeting.voter());
         LOG.info("connected to voter %s", greeting.node());
     }
 
-    private void learn(Member member) {
+    private void addVoter(Member member) {
         HostPort address = HostPort.parse(member.address());
         mSeenNanos.put(address, mClock.nanoTime());
         dial(address);
@@ -498,7 +498,7 @@
      * Requests a newer table if a voter has announced one, and checks whether the table held may be
      * served from.
      */
-    private void follow() {
+    private void checkTable() {
         long held = mTable == null ? 0 : mTable.version();
         Link newest = null;
         for (Map.Entry<Link, TableNotice> notice : mNotices.entrySet()) {
@@ -509,21 +509,21 @@
             }
         }
         long nowNanos = mClock.nanoTime();
-        if (newest != null && nowNanos - mRequestedNanos >= REQUEST_AGAIN_AFTER.toNanos()) {
-            mRequestedNanos = nowNanos;
+        if (newest != null && nowNanos - mTableRequestedNanos >= TABLE_REQUEST_INTERVAL.toNanos()) {
+            mTableRequestedNanos = nowNanos;
             newest.send(new TableRequest());
         }
-        mConfirmed |= mNotices.values().stream().anyMatch(TableNotice::inTouch);
-        boolean waited = nowNanos - mStartNanos > WAIT_FOR_QUORUM.toNanos();
+        mHasSeenQuorum |= mNotices.values().stream().anyMatch(TableNotice::hasQuorum);
+        boolean hasWaited = nowNanos - mStartNanos > QUORUM_WAIT.toNanos();
         boolean known = mTable != null && newest == null;
-        if (!mReady && known && (mConfirmed || waited)) {
+        if (!mReady && known && (mHasSeenQuorum || hasWaited)) {
             mReady = true;
             LOG.info("ready to serve with table %d", mTable.version());
         }
     }
 
     private void apply(TableDocument document) {
-        mRequestedNanos = mClock.nanoTime() - REQUEST_AGAIN_AFTER.toNanos();
+        mTableRequestedNanos = mClock.nanoTime() - TABLE_REQUEST_INTERVAL.toNanos();
         if (mTable != null && document.version() <= mTable.version()) {
             return;
         }
@@ -534,7 +534,7 @@
         } catch (IllegalArgumentException e) {
             LOG.error("table " + document.version() + " cannot be parsed and is not applied", e);
         }
-        follow();
+        checkTable();
     }
 
     private void tick() {
@@ -543,7 +543,7 @@
         List<HostPort> silent = new ArrayList<>();
         mSeenNanos.forEach(
                 (address, seenNanos) -> {
-                    if (nowNanos - seenNanos > FORGET_VOTER_AFTER.toNanos()
+                    if (nowNanos - seenNanos > VOTER_RETENTION.toNanos()
                             && !mSeeds.contains(address)) {
                         silent.add(address);
                     }
@@ -554,9 +554,9 @@
         }
         mRegistry.forgetOld(nowNanos);
         if (mLinks.isEmpty()) {
-            mUnlinkedNanos = nowNanos;
+            mLastUnlinkedNanos = nowNanos;
         }
-        follow();
+        checkTable();
     }
 
     private void onClosed(Link link) {
@@ -565,7 +565,7 @@
         mRecords.lost(link);
         HostPort voter = mLinks.remove(link);
         if (voter != null) {
-            mQuotaRequests.lost(voter, link);
+            mQuotaRequests.onVoterLost(voter, link);
             LOG.info("lost the connection to the voter at %s", voter);
         }
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/EntryRecords.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/EntryRecords.java
@@ -45,10 +45,11 @@
     void linked(Link voter, Greeting greeting) {
         mVoters.put(voter, greeting);
         if (!mCrashes.isEmpty()) {
-            sendIfKnown(voter, Capability.CRASH_RECORDS, new CrashRecords(mCrashes.all()));
+            sendIfSupported(voter, Capability.CRASH_RECORDS, new CrashRecords(mCrashes.all()));
         }
         if (!mLimits.isEmpty()) {
-            sendIfKnown(voter, Capability.UPSTREAM_LIMITS, new UpstreamLimitRecords(mLimits.all()));
+            sendIfSupported(
+                    voter, Capability.UPSTREAM_LIMITS, new UpstreamLimitRecords(mLimits.all()));
         }
     }
 
@@ -65,18 +66,18 @@
     }
 
     private void sendToAll(Capability capability, ClusterMessage message) {
-        mVoters.keySet().forEach(voter -> sendIfKnown(voter, capability, message));
+        mVoters.keySet().forEach(voter -> sendIfSupported(voter, capability, message));
     }
 
-    private void sendIfKnown(Link voter, Capability capability, ClusterMessage message) {
-        if (mVoters.get(voter).knows(capability)) {
+    private void sendIfSupported(Link voter, Capability capability, ClusterMessage message) {
+        if (mVoters.get(voter).supports(capability)) {
             voter.send(message);
         }
     }
 
     /** Returns whether every linked voter supports a capability. */
-    boolean allVotersKnow(Capability capability) {
-        return mVoters.values().stream().allMatch(voter -> voter.knows(capability));
+    boolean allVotersSupport(Capability capability) {
+        return mVoters.values().stream().allMatch(voter -> voter.supports(capability));
     }
 
     /** Merges the records of a message; ignores other messages. */
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/FirstState.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/InitialState.java
@@ -14,16 +14,16 @@
 import org.orchidmount.consensus.Member;
 
 /** Creates the initial durable state of a voter with an empty disk. Stateless and thread-safe. */
-final class FirstState {
+final class InitialState {
     /**
      * Length of the random identifier that distinguishes a voter with a new disk from its
      * predecessor at the same address.
      */
     private static final int IDENTITY_BYTES = 8;
 
-    private static final String FOUNDER = "/first";
+    private static final String FOUNDER_SUFFIX = "/first";
 
-    private FirstState() {}
+    private InitialState() {}
 
     /**
      * Returns the initial state: that of a founding member at the first start of the site, else
@@ -35,15 +35,15 @@
                         .map(
                                 seed ->
                                         new Member(
-                                                seed.address() + FOUNDER,
+                                                seed.address() + FOUNDER_SUFFIX,
                                                 seed.address().toString(),
                                                 seed.controlAddress()))
                         .toList();
-        String founder = config.address() + FOUNDER;
-        boolean founds =
+        String founder = config.address() + FOUNDER_SUFFIX;
+        boolean isFounder =
                 config.firstStart()
                         && founders.stream().anyMatch(member -> member.id().equals(founder));
-        if (founds) {
+        if (isFounder) {
             GroupState state = new GroupState(founders, 0, new byte[0]);
             return new DurableState(founder, 0, "", new EntryId(0, 1), state);
         }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/Link.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/Link.java
@@ -23,17 +23,17 @@
  * A TCP connection to another instance that carries messages in both directions.
  *
  * <p>A frame is a length of four bytes and an encoded message. A link that receives nothing for
- * {@link #SILENCE} is closed, which detects connections that were cut without notice. Sending never
- * blocks: the link is closed if the peer reads too slowly. A frame that cannot be decoded is
+ * {@link #READ_TIMEOUT} is closed, which detects connections that were cut without notice. Sending
+ * never blocks: the link is closed if the peer reads too slowly. A frame that cannot be decoded is
  * dropped without closing the link, since the peer would only reconnect and send the same frame
  * again; but the first frame of a link must be decodable. Thread-safe.
  */
 final class Link implements AutoCloseable {
-    /** Maximum time between two frames of a sender; less than a third of {@link #SILENCE}. */
-    static final Duration KEEP_ALIVE = Duration.ofMillis(400);
+    /** Maximum time between two frames of a sender; less than a third of {@link #READ_TIMEOUT}. */
+    static final Duration KEEP_ALIVE_INTERVAL = Duration.ofMillis(400);
 
     /** Time without a frame from the peer after which the link is closed. */
-    static final Duration SILENCE = Duration.ofMillis(1_500);
+    static final Duration READ_TIMEOUT = Duration.ofMillis(1_500);
 
     private static final PartLog LOG = PartLog.of("link");
 
@@ -41,7 +41,7 @@
     private static final int MAX_FRAME_BYTES = 16 * 1024 * 1024;
 
     /** Maximum length of text from a peer in a log line. */
-    private static final int MAX_LOGGED_CHARACTERS = 300;
+    private static final int MAX_LOGGED_PEER_TEXT = 300;
 
     /** Number of messages queued for a slow peer at which the link is closed. */
     private static final int MAX_QUEUED = 512;
@@ -57,9 +57,9 @@
      * Number of frames and list elements rejected so far; confined to the reader thread, as is the
      * next field.
      */
-    private long mRefusals;
+    private long mRejections;
 
-    private boolean mHasBegun;
+    private boolean mHasReceived;
 
     /** Receives the events of a link; called on the link's reader thread. */
     interface Handler {
@@ -74,7 +74,7 @@
         mSocket = socket;
         mHandler = handler;
         socket.setTcpNoDelay(true);
-        socket.setSoTimeout((int) SILENCE.toMillis());
+        socket.setSoTimeout((int) READ_TIMEOUT.toMillis());
     }
 
     /** Reads messages until the link closes. */
@@ -108,25 +108,25 @@
     private void receive(byte[] frame) throws IOException {
         ClusterMessage message;
         try {
-            message = ClusterCodec.decode(frame, this::refused);
+            message = ClusterCodec.decode(frame, this::logRejection);
         } catch (IOException e) {
-            if (!mHasBegun) {
+            if (!mHasReceived) {
                 throw e;
             }
-            refused(e.getMessage());
+            logRejection(e.getMessage());
             return;
         }
-        mHasBegun = true;
+        mHasReceived = true;
         mHandler.received(this, message);
     }
 
     /** Logs the first, second, fourth, eighth and so on rejection, to bound the log volume. */
-    private void refused(String what) {
-        mRefusals++;
-        if (Long.bitCount(mRefusals) == 1) {
+    private void logRejection(String what) {
+        mRejections++;
+        if (Long.bitCount(mRejections) == 1) {
             LOG.warn(
                     "rejected data from %s (%d rejections so far): %s",
-                    peer(), mRefusals, printable(what));
+                    peer(), mRejections, printable(what));
         }
     }
 
@@ -135,14 +135,14 @@
      * non-ASCII characters replaced.
      */
     private static String printable(String text) {
-        int length = Math.min(text.length(), MAX_LOGGED_CHARACTERS);
+        int length = Math.min(text.length(), MAX_LOGGED_PEER_TEXT);
         return text.substring(0, length).replaceAll("[^ -~]", "?");
     }
 
     private void writeAll() {
         try (DataOutputStream out = new DataOutputStream(mSocket.getOutputStream())) {
             while (!mClosed.get()) {
-                Frame frame = mQueue.poll(KEEP_ALIVE.toMillis(), TimeUnit.MILLISECONDS);
+                Frame frame = mQueue.poll(KEEP_ALIVE_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
                 out.write((frame == null ? KEEP_ALIVE_FRAME : frame).bytes());
             }
         } catch (IOException e) {
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/LinkServer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/LinkServer.java
@@ -26,7 +26,7 @@
     private final ServerSocket mSocket;
     private final Greeting mGreeting;
     private final Link.Handler mHandler;
-    private final Thread mAccepting;
+    private final Thread mAcceptThread;
 
     LinkServer(HostPort address, Greeting greeting, Link.Handler handler) throws IOException {
         mGreeting = greeting;
@@ -34,7 +34,7 @@
         mSocket = new ServerSocket();
         mSocket.setReuseAddress(true);
         mSocket.bind(new InetSocketAddress(address.host(), address.port()), BACKLOG);
-        mAccepting = Thread.ofVirtual().name("link-server").start(this::accept);
+        mAcceptThread = Thread.ofVirtual().name("link-server").start(this::accept);
     }
 
     int port() {
@@ -63,16 +63,16 @@
         } catch (IOException e) {
             LOG.warn("cannot close the listening socket: %s", e);
         }
-        awaitEnd();
+        awaitAcceptThread();
     }
 
     /**
      * Waits for the accepting thread, which keeps the socket and its address in use until it
      * returns.
      */
-    private void awaitEnd() {
+    private void awaitAcceptThread() {
         try {
-            mAccepting.join();
+            mAcceptThread.join();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/PeerRecords.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/PeerRecordValidator.java
@@ -15,9 +15,9 @@
  * Validates records received from other instances. An unusable record is rejected on receipt, since
  * it would fail later with every request or message that uses it. Stateless and thread-safe.
  */
-final class PeerRecords {
+final class PeerRecordValidator {
 
-    private PeerRecords() {}
+    private PeerRecordValidator() {}
 
     /**
      * Returns whether a registration can be used: the upstream has left, or can be called as
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/PendingDepartures.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/PendingDepartures.java
@@ -19,7 +19,7 @@
  */
 final class PendingDepartures {
     /** Number of a resent departure whose acknowledgements are ignored. */
-    static final long NONE = -1;
+    static final long UNTRACKED = -1;
 
     private final Map<Long, Pending> mPending = new HashMap<>();
     private long mNumber;
@@ -42,7 +42,7 @@
     }
 
     /** Records an acknowledgement; repeated acknowledgements of a voter count once. */
-    void held(long number, HostPort voter, int quorum) {
+    void acknowledge(long number, HostPort voter, int quorum) {
         Pending pending = mPending.get(number);
         if (pending != null) {
             pending.mHolders.add(voter);
@@ -59,7 +59,7 @@
     }
 
     /** Stops tracking a departure that was confirmed or abandoned. */
-    void end(long number) {
+    void remove(long number) {
         mPending.remove(number);
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/Persister.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/Persister.java
@@ -33,8 +33,8 @@
     private final Consumer<T> mWritten;
     private final Thread mThread;
     private boolean mIsStarted;
-    private T mWaiting;
-    private boolean mRefused;
+    private T mPending;
+    private boolean mIsFailing;
 
     /** Writes a value durably. */
     @FunctionalInterface
@@ -64,7 +64,7 @@
     void persist(T value) {
         mLock.lock();
         try {
-            mWaiting = value;
+            mPending = value;
             mChanged.signal();
             if (!mIsStarted) {
                 mIsStarted = true;
@@ -94,11 +94,11 @@
     private T take() throws InterruptedException {
         mLock.lockInterruptibly();
         try {
-            while (mWaiting == null) {
+            while (mPending == null) {
                 mChanged.await();
             }
-            T value = mWaiting;
-            mWaiting = null;
+            T value = mPending;
+            mPending = null;
             return value;
         } finally {
             mLock.unlock();
@@ -108,8 +108,8 @@
     private void putBack(T value) {
         mLock.lock();
         try {
-            if (mWaiting == null) {
-                mWaiting = value;
+            if (mPending == null) {
+                mPending = value;
             }
         } finally {
             mLock.unlock();
@@ -119,14 +119,14 @@
     private boolean write(T value) {
         try {
             mWriter.write(value);
-            if (mRefused) {
-                mRefused = false;
+            if (mIsFailing) {
+                mIsFailing = false;
                 LOG.info("disk writes succeed again");
             }
             return true;
         } catch (IOException e) {
-            if (!mRefused) {
-                mRefused = true;
+            if (!mIsFailing) {
+                mIsFailing = true;
                 LOG.warn("disk write failed and will be retried: %s", e);
             }
             return false;
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/QuotaRequests.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/QuotaRequests.java
@@ -35,7 +35,7 @@
      * Maximum number of attempts: one each at any voter, the leader that it names, and a new
      * leader.
      */
-    private static final int MAX_TRIES = 3;
+    private static final int MAX_ATTEMPTS = 3;
 
     private final int mSpread;
     private final Map<Long, Pending> mPending = new LinkedHashMap<>();
@@ -52,7 +52,7 @@
             CompletableFuture<QuotaAnswer> answer,
             HostPort asked,
             boolean isOwnerSilent,
-            int tries) {}
+            int attempts) {}
 
     /**
      * Creates an instance without linked voters.
@@ -64,12 +64,12 @@
     }
 
     /** Adds a linked voter. */
-    void linked(HostPort voter, Link link) {
+    void onVoterLinked(HostPort voter, Link link) {
         mVoters.put(voter, link);
     }
 
     /** Removes a voter whose link was lost; its pending requests are sent to another voter. */
-    void lost(HostPort voter, Link link) {
+    void onVoterLost(HostPort voter, Link link) {
         if (!mVoters.remove(voter, link)) {
             return;
         }
@@ -80,7 +80,7 @@
         asked.removeIf(pending -> !pending.asked().equals(voter));
         mPending.values().removeIf(pending -> pending.asked().equals(voter));
         asked.removeIf(pending -> pending.answer().isDone());
-        asked.forEach(pending -> send(pending.ask(), pending.answer(), pending.tries()));
+        asked.forEach(pending -> send(pending.ask(), pending.answer(), pending.attempts()));
     }
 
     /**
@@ -91,16 +91,16 @@
         send(ask, answer, 0);
     }
 
-    private void send(QuotaAsk ask, CompletableFuture<QuotaAnswer> answer, int tries) {
+    private void send(QuotaAsk ask, CompletableFuture<QuotaAnswer> answer, int attempts) {
         boolean isOwnerUsable = isOwnerUsable();
         HostPort asked = isOwnerUsable ? mOwner : voterWithoutLease(ask);
-        if (asked == null || tries >= MAX_TRIES) {
+        if (asked == null || attempts >= MAX_ATTEMPTS) {
             answer.complete(QuotaAnswer.NO_OWNER);
             return;
         }
         long number = ++mLastNumber;
-        boolean isOwnerSilent = !isOwnerUsable && (mOwner != null || tries > 0);
-        mPending.put(number, new Pending(ask, answer, asked, isOwnerSilent, tries + 1));
+        boolean isOwnerSilent = !isOwnerUsable && (mOwner != null || attempts > 0);
+        mPending.put(number, new Pending(ask, answer, asked, isOwnerSilent, attempts + 1));
         mVoters.get(asked).send(new QuotaRequest(number, ask, isOwnerSilent));
     }
 
@@ -131,7 +131,7 @@
     }
 
     /** Handles the reply of a voter. */
-    void received(QuotaReply reply) {
+    void onReply(QuotaReply reply) {
         Pending pending = mPending.remove(reply.number());
         learnOwner(reply);
         if (pending == null) {
@@ -160,7 +160,7 @@
         boolean hasOwner = isOwnerUsable() && !mOwner.equals(pending.asked());
         boolean mayAsk = hasOwner || !pending.isOwnerSilent();
         if (mayAsk && !pending.answer().isDone()) {
-            send(pending.ask(), pending.answer(), pending.tries());
+            send(pending.ask(), pending.answer(), pending.attempts());
         } else {
             pending.answer().complete(QuotaAnswer.NO_OWNER);
         }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/GatheredSequences.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/SequenceRelay.java
@@ -18,31 +18,31 @@
  * zone once, however many entries are there. The announcing entry applies its own announcements
  * locally. Confined to the voter's thread.
  */
-final class GatheredSequences {
+final class SequenceRelay {
     /**
      * Batching delay, which keeps the number of frames low when many entries announce: a quarter of
      * the 30 ms after which an entry relies on all others having received its announcement.
      */
-    private static final long GATHER_MILLIS = 8;
+    private static final long BATCH_MILLIS = 8;
 
     private final VoterLinks mLinks;
     private final TaskThread mTasks;
-    private final List<InFlightSequence> mGathered = new ArrayList<>();
+    private final List<InFlightSequence> mBatch = new ArrayList<>();
 
-    GatheredSequences(VoterLinks links, TaskThread tasks) {
+    SequenceRelay(VoterLinks links, TaskThread tasks) {
         mLinks = links;
         mTasks = tasks;
     }
 
     void add(InFlightSequences announced) {
-        if (mGathered.isEmpty()) {
-            mTasks.after(GATHER_MILLIS, this::send);
+        if (mBatch.isEmpty()) {
+            mTasks.after(BATCH_MILLIS, this::send);
         }
-        mGathered.addAll(announced.sequences());
+        mBatch.addAll(announced.sequences());
     }
 
     private void send() {
-        mLinks.sendToNearEntries(new InFlightSequences(mGathered));
-        mGathered.clear();
+        mLinks.sendToNearEntries(new InFlightSequences(mBatch));
+        mBatch.clear();
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/ServiceGate.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/ServiceGate.java
@@ -30,15 +30,15 @@
      * Maximum number of registrations held back; more than the upstreams of the target deployment,
      * which may all be held back until the first table.
      */
-    private static final int MAX_WAITING = 10_000;
+    private static final int MAX_HELD_BACK = 10_000;
 
     private final RouteTableParser mParser;
-    private final Map<Key, Registration> mWaiting = new LinkedHashMap<>();
+    private final Map<Key, Registration> mHeldBack = new LinkedHashMap<>();
 
     /** Last committed table; null if there is none. */
     private RouteTable mTable;
 
-    private long mRefusals;
+    private long mHeldBackCount;
 
     /**
      * Key of a registration held back: several services may be registered under one identity, of
@@ -55,13 +55,13 @@
     }
 
     /** Holds back a registration. The oldest ones are dropped when there are too many. */
-    void await(Registration registration) {
+    void holdBack(Registration registration) {
         Key key = new Key(registration.id(), registration.service());
-        if (mWaiting.merge(key, registration, Registration::merge) == registration) {
-            logWaiting(registration);
+        if (mHeldBack.merge(key, registration, Registration::merge) == registration) {
+            logHeldBack(registration);
         }
-        if (mWaiting.size() > MAX_WAITING) {
-            mWaiting.remove(mWaiting.keySet().iterator().next());
+        if (mHeldBack.size() > MAX_HELD_BACK) {
+            mHeldBack.remove(mHeldBack.keySet().iterator().next());
         }
     }
 
@@ -69,19 +69,19 @@
      * Logs the first, second, fourth, eighth and so on registration held back, to bound the log
      * volume.
      */
-    private void logWaiting(Registration registration) {
-        mRefusals++;
-        if (mTable != null && Long.bitCount(mRefusals) == 1) {
+    private void logHeldBack(Registration registration) {
+        mHeldBackCount++;
+        if (mTable != null && Long.bitCount(mHeldBackCount) == 1) {
             LOG.warn(
                     "upstream %s is not used: its service %s is not in table %d; add it there"
                             + " (%d held back so far)",
-                    registration.id(), registration.service(), mTable.version(), mRefusals);
+                    registration.id(), registration.service(), mTable.version(), mHeldBackCount);
         }
     }
 
     /** Drops the registrations held back under an identity that has left. */
-    void leave(String id) {
-        mWaiting.keySet().removeIf(key -> key.id().equals(id));
+    void remove(String id) {
+        mHeldBack.keySet().removeIf(key -> key.id().equals(id));
     }
 
     /**
@@ -90,7 +90,7 @@
      * @param state the committed state
      * @return the table, or empty if there is none or it cannot be parsed
      */
-    Optional<RouteTable> read(GroupState state) {
+    Optional<RouteTable> parse(GroupState state) {
         if (state.tableVersion() == 0) {
             return Optional.empty();
         }
@@ -113,14 +113,14 @@
      * @param table the table
      * @return the registrations that are no longer held back
      */
-    List<Registration> follow(RouteTable table) {
+    List<Registration> apply(RouteTable table) {
         if (mTable != null && table.version() < mTable.version()) {
             return List.of();
         }
         mTable = table;
-        List<Registration> named = new ArrayList<>(mWaiting.values());
-        named.removeIf(registration -> !isNamed(registration.service()));
-        mWaiting.keySet().removeIf(key -> isNamed(key.service()));
-        return named;
+        List<Registration> released = new ArrayList<>(mHeldBack.values());
+        released.removeIf(registration -> !isNamed(registration.service()));
+        mHeldBack.keySet().removeIf(key -> isNamed(key.service()));
+        return released;
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/StageController.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/StageController.java
@@ -45,7 +45,7 @@
      * Time for which a change must be due before it is ordered, so that the restart of an engine
      * triggers none.
      */
-    private static final Duration SETTLE = Duration.ofMillis(1_200);
+    private static final Duration SETTLE_TIME = Duration.ofMillis(1_200);
 
     /**
      * Same for a change to prefill: an engine that is lost often returns within seconds, and
@@ -54,13 +54,13 @@
     private static final Duration SETTLE_AFTER_LOSS = Duration.ofSeconds(7);
 
     /** Pause after the start of an order, until the engine's change shows in its heartbeats. */
-    private static final Duration REST = Duration.ofSeconds(3);
+    private static final Duration ORDER_COOLDOWN = Duration.ofSeconds(3);
 
     /**
      * Time for which an order may still take effect: more than twice the 6 s that an engine may
      * take for a change.
      */
-    private static final Duration WAIT_FOR_DONE = Duration.ofSeconds(16);
+    private static final Duration ORDER_TIMEOUT = Duration.ofSeconds(16);
 
     /** Margin on the predecessor's lease for clocks that run at different rates. */
     private static final Duration LEASE_MARGIN = Duration.ofMillis(700);
@@ -80,25 +80,26 @@
     private final UpstreamPauses mPauses;
     private final Consumer<Registration> mDepartures;
     private final String mHolder;
-    private final AtomicBoolean mCalling = new AtomicBoolean();
-    private final AtomicReference<Ended> mEnded = new AtomicReference<>();
+    private final AtomicBoolean mIsOrderInProgress = new AtomicBoolean();
+    private final AtomicReference<OrderResult> mLastResult = new AtomicReference<>();
     private long mTerm = -1;
     private long mTermSinceNanos;
     private boolean mFenced;
     private EngineStagePlan.Change mDue;
     private long mDueSinceNanos;
-    private long mRestUntilNanos;
-    private long mGivenNanos;
+    private long mCooldownUntilNanos;
+    private long mOrderedNanos;
     private StageOrders.Order mPending;
 
     /**
      * Whether the engine of the last order has restarted since; shared with the thread of that
      * order.
      */
-    private AtomicBoolean mStartedAgain = new AtomicBoolean();
+    private AtomicBoolean mHasRestarted = new AtomicBoolean();
 
     /** The result of an order and the time at which it was given. */
-    private record Ended(StageOrders.Order order, StageOrders.Result result, long givenNanos) {}
+    private record OrderResult(
+            StageOrders.Order order, StageOrders.Result result, long orderedNanos) {}
 
     /**
      * Creates a controller.
@@ -123,8 +124,8 @@
     }
 
     /** Returns whether an order is in progress; may be called on any thread. */
-    boolean isCalling() {
-        return mCalling.get();
+    boolean isOrderInProgress() {
+        return mIsOrderInProgress.get();
     }
 
     /** Returns the time for which a silent upstream still counts as running. */
@@ -153,19 +154,19 @@
             List<Registration> silent,
             BooleanSupplier stillHeld,
             long nowNanos) {
-        follow(term, nowNanos);
-        dropOfEarlierStart(current);
-        if (mCalling.get()) {
+        updateTerm(term, nowNanos);
+        dropOrderOfEarlierIncarnation(current);
+        if (mIsOrderInProgress.get()) {
             return;
         }
-        Optional.ofNullable(mEnded.getAndSet(null)).ifPresent(this::settle);
-        boolean resting = nowNanos - mRestUntilNanos < 0;
-        if (!holds(nowNanos) || mFenced || resting) {
+        Optional.ofNullable(mLastResult.getAndSet(null)).ifPresent(this::applyResult);
+        boolean isCoolingDown = nowNanos - mCooldownUntilNanos < 0;
+        if (!mayGiveOrders(nowNanos) || mFenced || isCoolingDown) {
             return;
         }
         if (mPending != null
-                && mayYetBeDone(nowNanos)
-                && current.stream().noneMatch(this::isDone)) {
+                && mayStillTakeEffect(nowNanos)
+                && current.stream().noneMatch(this::hasTakenEffect)) {
             return;
         }
         mPending = null;
@@ -173,11 +174,11 @@
         if (change.isEmpty()) {
             mDue = null;
         } else if (isSettled(change.get(), nowNanos) && !isPaused(change.get())) {
-            give(change.get(), stillHeld, nowNanos);
+            startOrder(change.get(), stillHeld, nowNanos);
         }
     }
 
-    private void follow(long term, long nowNanos) {
+    private void updateTerm(long term, long nowNanos) {
         if (term != mTerm) {
             mTerm = term;
             mTermSinceNanos = nowNanos;
@@ -192,7 +193,7 @@
      * of it. The pause after the order still applies: an unanswered order may yet reach the new
      * incarnation, which would accept it as its own.
      */
-    private void dropOfEarlierStart(List<Registration> current) {
+    private void dropOrderOfEarlierIncarnation(List<Registration> current) {
         if (mPending == null) {
             return;
         }
@@ -204,23 +205,23 @@
                         .findAny();
         if (next.isPresent()) {
             LOG.info("engine %s has restarted as %s; its order is dropped", ordered, next.get());
-            mStartedAgain.set(true);
+            mHasRestarted.set(true);
             mPending = null;
         }
     }
 
     /** Returns whether the leases of all previous leaders must have expired. */
-    private boolean holds(long nowNanos) {
+    private boolean mayGiveOrders(long nowNanos) {
         Duration wait = mConfig.lease().plus(LEASE_MARGIN);
         return mTerm >= 0 && nowNanos - mTermSinceNanos > wait.toNanos();
     }
 
-    private boolean mayYetBeDone(long nowNanos) {
-        return nowNanos - mGivenNanos < WAIT_FOR_DONE.toNanos();
+    private boolean mayStillTakeEffect(long nowNanos) {
+        return nowNanos - mOrderedNanos < ORDER_TIMEOUT.toNanos();
     }
 
     /** Returns whether a registration shows that the pending order took effect. */
-    private boolean isDone(Registration registration) {
+    private boolean hasTakenEffect(Registration registration) {
         return registration.id().equals(mPending.engine().id())
                 && registration.stage() == mPending.stage();
     }
@@ -232,7 +233,7 @@
             mDueSinceNanos = nowNanos;
         }
         boolean toPrefill = change.stage() == Registration.Stage.PREFILL;
-        Duration settle = toPrefill ? SETTLE_AFTER_LOSS : SETTLE;
+        Duration settle = toPrefill ? SETTLE_AFTER_LOSS : SETTLE_TIME;
         return nowNanos - mDueSinceNanos > settle.toNanos();
     }
 
@@ -240,24 +241,25 @@
         return mPauses.isPaused(change.engine().incarnation());
     }
 
-    private void give(EngineStagePlan.Change change, BooleanSupplier stillHeld, long nowNanos) {
+    private void startOrder(
+            EngineStagePlan.Change change, BooleanSupplier stillHeld, long nowNanos) {
         StageOrders.Order order =
                 new StageOrders.Order(change.engine(), change.stage(), mHolder, mTerm);
         mPending = order;
-        mGivenNanos = nowNanos;
+        mOrderedNanos = nowNanos;
         mDue = null;
-        mCalling.set(true);
-        AtomicBoolean startedAgain = new AtomicBoolean();
-        mStartedAgain = startedAgain;
-        BooleanSupplier maySend = () -> !startedAgain.get() && stillHeld.getAsBoolean();
+        mIsOrderInProgress.set(true);
+        AtomicBoolean hasRestarted = new AtomicBoolean();
+        mHasRestarted = hasRestarted;
+        BooleanSupplier maySend = () -> !hasRestarted.get() && stillHeld.getAsBoolean();
         LOG.info(
                 "ordering engine %s at %s to change to stage %s, fencing token %d",
                 order.engine().id(), order.engine().address(), order.stage(), order.fence());
-        Thread.ofVirtual().name("order").start(() -> call(order, maySend, nowNanos));
+        Thread.ofVirtual().name("order").start(() -> sendOrder(order, maySend, nowNanos));
     }
 
     /** Sends an order and records its result; runs on the order's own thread. */
-    private void call(StageOrders.Order order, BooleanSupplier stillHeld, long givenNanos) {
+    private void sendOrder(StageOrders.Order order, BooleanSupplier stillHeld, long orderedNanos) {
         StageOrders.Result result = StageOrders.Result.UNKNOWN;
         try {
             result =
@@ -265,9 +267,9 @@
                             order, stillHeld, stated -> observe(order.engine(), stated));
         } finally {
             LOG.info("engine %s: result of the order is %s", order.engine().id(), result);
-            mEnded.set(new Ended(order, result, givenNanos));
+            mLastResult.set(new OrderResult(order, result, orderedNanos));
             // Must come last: once this is false, the voter's thread reads the result.
-            mCalling.set(false);
+            mIsOrderInProgress.set(false);
         }
     }
 
@@ -278,15 +280,15 @@
         }
     }
 
-    private void settle(Ended ended) {
+    private void applyResult(OrderResult ended) {
         switch (ended.result()) {
-            case TAKEN -> mRestUntilNanos = ended.givenNanos() + REST.toNanos();
+            case TAKEN -> mCooldownUntilNanos = ended.orderedNanos() + ORDER_COOLDOWN.toNanos();
             case REFUSED -> {
                 mPending = null;
-                mRestUntilNanos = ended.givenNanos() + REST.toNanos();
+                mCooldownUntilNanos = ended.orderedNanos() + ORDER_COOLDOWN.toNanos();
             }
             case FENCED -> mFenced = ended.order().fence() == mTerm;
-            case UNKNOWN -> mRestUntilNanos = ended.givenNanos() + WAIT_FOR_DONE.toNanos();
+            case UNKNOWN -> mCooldownUntilNanos = ended.orderedNanos() + ORDER_TIMEOUT.toNanos();
             default -> throw new IllegalStateException("unexpected order result " + ended.result());
         }
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterCrashes.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterCrashes.java
@@ -40,15 +40,15 @@
     }
 
     /** Sends all records to a newly linked peer that supports them. */
-    void greet(Link link, ClusterMessage.Greeting peer) {
-        if (!mRegistry.isEmpty() && peer.knows(Capability.CRASH_RECORDS)) {
+    void sendAllTo(Link link, ClusterMessage.Greeting peer) {
+        if (!mRegistry.isEmpty() && peer.supports(Capability.CRASH_RECORDS)) {
             link.send(new CrashRecords(mRegistry.all()));
         }
     }
 
     /** Merges the records of another instance and forwards the changes. */
     void received(CrashRecords records) {
-        passOn(mRegistry.merge(records.records()));
+        forward(mRegistry.merge(records.records()));
     }
 
     /** Returns the records of quarantined requests, which must not be run. */
@@ -62,15 +62,15 @@
             return false;
         }
         LOG.info("quarantine of request %s lifted by an operator", fingerprint);
-        passOn(mRegistry.clear(fingerprint).stream().toList());
+        forward(mRegistry.clear(fingerprint).stream().toList());
         return true;
     }
 
-    private void passOn(List<CrashRecord> changed) {
+    private void forward(List<CrashRecord> changed) {
         if (changed.isEmpty()) {
             return;
         }
-        mLinks.sendToAllKnowing(Capability.CRASH_RECORDS, new CrashRecords(changed));
+        mLinks.sendToAllSupporting(Capability.CRASH_RECORDS, new CrashRecords(changed));
         mPersister.persist(mRegistry.all());
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterLimits.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterLimits.java
@@ -45,8 +45,8 @@
     }
 
     /** Sends all limits to a newly linked peer that supports them. */
-    void greet(Link link, ClusterMessage.Greeting peer) {
-        if (!mLimits.isEmpty() && peer.knows(Capability.UPSTREAM_LIMITS)) {
+    void sendAllTo(Link link, ClusterMessage.Greeting peer) {
+        if (!mLimits.isEmpty() && peer.supports(Capability.UPSTREAM_LIMITS)) {
             link.send(new UpstreamLimitRecords(mLimits.all()));
         }
     }
@@ -57,7 +57,7 @@
         if (changed.isEmpty()) {
             return;
         }
-        mLinks.sendToAllKnowing(Capability.UPSTREAM_LIMITS, new UpstreamLimitRecords(changed));
+        mLinks.sendToAllSupporting(Capability.UPSTREAM_LIMITS, new UpstreamLimitRecords(changed));
         mPersister.persist(mLimits.all());
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterLinks.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterLinks.java
@@ -23,7 +23,7 @@
  */
 final class VoterLinks implements AutoCloseable {
     /** Time after which a silent peer is no longer dialled. */
-    private static final long FORGET_NANOS = 30_000_000_000L;
+    private static final long PEER_RETENTION_NANOS = 30_000_000_000L;
 
     private final HostPort mSelf;
     private final Greeting mGreeting;
@@ -128,7 +128,7 @@
     }
 
     /** Sends a message to all voters and entries that support a capability. */
-    void sendToAllKnowing(Capability capability, ClusterMessage message) {
+    void sendToAllSupporting(Capability capability, ClusterMessage message) {
         Frame frame = new Frame(message);
         mVoterLinks.forEach(
                 (link, voter) -> sendIf(voter.capabilities().contains(capability), link, frame));
@@ -136,8 +136,8 @@
                 (link, entry) -> sendIf(entry.capabilities().contains(capability), link, frame));
     }
 
-    private static void sendIf(boolean isMeant, Link link, Frame frame) {
-        if (isMeant) {
+    private static void sendIf(boolean isRecipient, Link link, Frame frame) {
+        if (isRecipient) {
             link.send(frame);
         }
     }
@@ -168,7 +168,7 @@
     /**
      * Stops dialling addresses that are neither seeds nor voters and have been silent for too long.
      */
-    void forgetOld(Collection<Member> voters, long nowNanos) {
+    void forgetSilentPeers(Collection<Member> voters, long nowNanos) {
         mVoterLinks.values().forEach(voter -> mSeenNanos.put(voter.address(), nowNanos));
         for (Member voter : voters) {
             learn(voter, nowNanos);
@@ -177,16 +177,16 @@
                 .entrySet()
                 .removeIf(
                         seen -> {
-                            boolean old = nowNanos - seen.getValue() > FORGET_NANOS;
+                            boolean old = nowNanos - seen.getValue() > PEER_RETENTION_NANOS;
                             if (old) {
                                 mMembers.remove(seen.getKey());
-                                hangUp(seen.getKey());
+                                stopDialing(seen.getKey());
                             }
                             return old;
                         });
     }
 
-    private void hangUp(HostPort address) {
+    private void stopDialing(HostPort address) {
         if (!mSeeds.contains(address)) {
             Dialer dialer = mDialers.remove(address);
             if (dialer != null) {
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterNode.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterNode.java
@@ -25,7 +25,7 @@
 import org.orchidmount.cluster.ClusterMessage.QuotaRequest;
 import org.orchidmount.cluster.ClusterMessage.QuotaReturn;
 import org.orchidmount.cluster.ClusterMessage.Registrations;
-import org.orchidmount.cluster.ClusterMessage.RegistrationsHeld;
+import org.orchidmount.cluster.ClusterMessage.RegistrationsAck;
 import org.orchidmount.cluster.ClusterMessage.Replication;
 import org.orchidmount.cluster.ClusterMessage.TableDocument;
 import org.orchidmount.cluster.ClusterMessage.TableNotice;
@@ -66,10 +66,10 @@
     private static final long TICK_MILLIS = 50;
 
     /** Interval between two table notices to all entries. */
-    private static final long NOTICE_MILLIS = 1_000;
+    private static final long NOTICE_INTERVAL_MILLIS = 1_000;
 
     /** Retention of the registration of an upstream that has left. */
-    private static final long REMEMBER_NANOS = Duration.ofMinutes(10).toNanos();
+    private static final long DEPARTURE_RETENTION_NANOS = Duration.ofMinutes(10).toNanos();
 
     private final TaskThread mTasks = new TaskThread("voter", LOG);
     private final MonotonicClock mClock;
@@ -79,21 +79,21 @@
     private final VoterLinks mLinks;
     private final LinkServer mServer;
     private final StageController mStages;
-    private final Registry mRegistry = new Registry(REMEMBER_NANOS);
+    private final Registry mRegistry = new Registry(DEPARTURE_RETENTION_NANOS);
     private final PendingDepartures mDepartures = new PendingDepartures();
     private final VoterQuota mQuota;
     private final VoterRecords mRecords;
-    private final GatheredSequences mSequences;
+    private final SequenceRelay mSequenceRelay;
 
     /** Registrations received from upstreams since the last batch to the other voters. */
-    private final Map<String, Registration> mReceived = new HashMap<>();
+    private final Map<String, Registration> mUnsent = new HashMap<>();
 
     /** Holds back registrations of unknown services; null if all services are accepted. */
     private ServiceGate mGate;
 
     private GroupState mCommitted = new GroupState(List.of(), 0, new byte[0]);
-    private boolean mWasInTouch;
-    private Replica.Role mWasRole = Replica.Role.FOLLOWER;
+    private boolean mHadQuorum;
+    private Replica.Role mLastRole = Replica.Role.FOLLOWER;
 
     /** A state to be written, and the number that identifies the write to the replica. */
     private record StateWrite(long number, DurableState state) {}
@@ -101,7 +101,7 @@
     private VoterNode(VoterConfig config, MonotonicClock clock) throws IOException {
         mClock = clock;
         StateFile file = StateFile.open(config.folder());
-        DurableState durable = file.read().orElseGet(() -> FirstState.of(config));
+        DurableState durable = file.read().orElseGet(() -> InitialState.of(config));
         mSelf = new Member(durable.self(), config.address().toString(), config.controlAddress());
         Greeting greeting =
                 new Greeting(PROTOCOL, config.node(), config.zone(), mSelf, Capability.own());
@@ -123,17 +123,17 @@
                         config.seeds().stream().map(VoterConfig.Seed::address).toList(),
                         handler);
         mRecords = new VoterRecords(config.node(), config.folder(), mLinks, clock);
-        mSequences = new GatheredSequences(mLinks, mTasks);
+        mSequenceRelay = new SequenceRelay(mLinks, mTasks);
         mServer = new LinkServer(config.address(), greeting, handler);
         mStages =
                 new StageController(
                         config.stages(),
                         config.node(),
                         new UpstreamPauses(clock),
-                        leaving -> mTasks.post(() -> leaves(leaving)));
+                        leaving -> mTasks.post(() -> onLeaving(leaving)));
         mQuota = new VoterQuota(mReplica, mSelf, config.firstStart(), clock.nanoTime());
         mTasks.every(TICK_MILLIS, this::tick);
-        mTasks.every(NOTICE_MILLIS, this::refresh);
+        mTasks.every(NOTICE_INTERVAL_MILLIS, this::runMaintenance);
         LOG.info(
                 "replica %s starts at consensus entry %s with table %d",
                 mSelf.id(), durable.entry(), durable.state().tableVersion());
@@ -161,7 +161,7 @@
      * @return the reply; may never complete
      */
     public CompletableFuture<TableAnswer> putTable(long version, byte[] document) {
-        return ask(
+        return runOnLeader(
                 done -> {
                     GroupState newest = mReplica.state();
                     boolean same = version == newest.tableVersion();
@@ -192,7 +192,7 @@
      * @return the reply; may never complete
      */
     public CompletableFuture<TableAnswer> readTable() {
-        return ask(
+        return runOnLeader(
                 done ->
                         mReplica.confirm(
                                 confirmed ->
@@ -205,12 +205,12 @@
     }
 
     /** Runs a request on the leader, or replies with the leader's address. */
-    private CompletableFuture<TableAnswer> ask(Consumer<Consumer<TableAnswer>> question) {
+    private CompletableFuture<TableAnswer> runOnLeader(Consumer<Consumer<TableAnswer>> request) {
         CompletableFuture<TableAnswer> answer = new CompletableFuture<>();
         mTasks.post(
                 () -> {
                     if (mReplica.role() == Replica.Role.LEADER) {
-                        question.accept(answer::complete);
+                        request.accept(answer::complete);
                         return;
                     }
                     Optional<Member> leader =
@@ -229,7 +229,7 @@
      * @return the voters; may never complete
      */
     public CompletableFuture<List<Member>> voters() {
-        return ask(() -> mCommitted.members());
+        return query(() -> mCommitted.members());
     }
 
     /**
@@ -249,7 +249,7 @@
      * @return their records; may never complete
      */
     public CompletableFuture<List<CrashRecord>> quarantined() {
-        return ask(mRecords.crashes()::quarantined);
+        return query(mRecords.crashes()::quarantined);
     }
 
     /**
@@ -259,7 +259,7 @@
      * @return true if the request was quarantined
      */
     public CompletableFuture<Boolean> liftQuarantine(RequestFingerprint fingerprint) {
-        return ask(() -> mRecords.crashes().lift(fingerprint));
+        return query(() -> mRecords.crashes().lift(fingerprint));
     }
 
     /**
@@ -268,13 +268,13 @@
      * @return the limits in force; may never complete
      */
     public CompletableFuture<List<UpstreamLimitUse>> upstreamLimits() {
-        return ask(() -> mRecords.limits().uses(mQuota));
+        return query(() -> mRecords.limits().uses(mQuota));
     }
 
     /** Evaluates a query on the voter's thread. */
-    private <T> CompletableFuture<T> ask(Supplier<T> question) {
+    private <T> CompletableFuture<T> query(Supplier<T> query) {
         CompletableFuture<T> answer = new CompletableFuture<>();
-        mTasks.post(() -> answer.complete(question.get()));
+        mTasks.post(() -> answer.complete(query.get()));
         return answer;
     }
 
@@ -289,29 +289,29 @@
         mTasks.post(
                 () -> {
                     mGate = new ServiceGate(parser);
-                    followServices(mGate, mCommitted);
+                    parseTable(mGate, mCommitted);
                 });
     }
 
-    /**
-     * Parses the table on another thread: the first takes some 0.3 s, longer than a leader's pause.
-     */
-    private void followServices(ServiceGate gate, GroupState state) {
+    /** Parses on another thread: the first takes some 0.3 s, longer than a leader's pause. */
+    private void parseTable(ServiceGate gate, GroupState state) {
         Thread.ofVirtual()
                 .name("services")
                 .start(
                         () ->
-                                gate.read(state)
+                                gate.parse(state)
                                         .ifPresent(
-                                                table -> mTasks.post(() -> follow(gate, table))));
+                                                table ->
+                                                        mTasks.post(
+                                                                () -> applyTable(gate, table))));
     }
 
-    private void follow(ServiceGate gate, RouteTable table) {
-        registerNamed(gate.follow(table));
+    private void applyTable(ServiceGate gate, RouteTable table) {
+        registerReleased(gate.apply(table));
     }
 
     /** Registered upstreams stay accepted, even if the table no longer names their service. */
-    private boolean hasToWait(Registration registration) {
+    private boolean mustHoldBack(Registration registration) {
         if (mGate == null || mGate.isNamed(registration.service())) {
             return false;
         }
@@ -322,10 +322,10 @@
     }
 
     /** Applies registrations that were held back and forwards them in one message. */
-    private void registerNamed(List<Registration> named) {
+    private void registerReleased(List<Registration> named) {
         List<Registration> changed = new ArrayList<>();
         for (Registration registration : named) {
-            hold(registration).ifPresent(changed::add);
+            apply(registration).ifPresent(changed::add);
         }
         if (!changed.isEmpty()) {
             forward(changed);
@@ -343,12 +343,12 @@
         CompletableFuture<Boolean> done = new CompletableFuture<>();
         mTasks.post(
                 () -> {
-                    if (hasToWait(registration)) {
-                        mGate.await(registration);
+                    if (mustHoldBack(registration)) {
+                        mGate.holdBack(registration);
                         done.complete(mReplica.isInTouch());
                         return;
                     }
-                    Optional<Registration> changed = hold(registration);
+                    Optional<Registration> changed = apply(registration);
                     if (isLeaving(registration)) {
                         replicateDeparture(
                                 mRegistry.find(registration.id()).orElse(registration), done);
@@ -361,19 +361,19 @@
     }
 
     /** Applies a registration; returns the registration now held if it changed. */
-    private Optional<Registration> hold(Registration registration) {
+    private Optional<Registration> apply(Registration registration) {
         long nowNanos = mClock.nanoTime();
         Optional<Registration> changed =
                 isLeaving(registration)
                         ? mRegistry.depart(registration, nowNanos)
                         : mRegistry.merge(registration, nowNanos);
         changed.ifPresent(VoterNode::logChange);
-        noteReceived(registration);
+        queueForVoters(registration);
         return changed;
     }
 
-    /** Applies an engine's statement, in a response to this voter, that it leaves. */
-    private void leaves(Registration leaving) {
+    /** Applies an engine's statement, in a response to this voter, that it onLeaving. */
+    private void onLeaving(Registration leaving) {
         mRegistry.merge(leaving, mClock.nanoTime()).ifPresent(this::forward);
     }
 
@@ -385,14 +385,14 @@
      * Queues a registration for the next batch, unless it is a late one of an earlier incarnation,
      * which would replace that of the current one.
      */
-    private void noteReceived(Registration registration) {
-        boolean isOfTheOneHeld =
+    private void queueForVoters(Registration registration) {
+        boolean isCurrent =
                 mRegistry
                         .find(registration.id())
                         .filter(held -> held.incarnation().equals(registration.incarnation()))
                         .isPresent();
-        if (isOfTheOneHeld) {
-            mReceived.put(registration.id(), registration);
+        if (isCurrent) {
+            mUnsent.put(registration.id(), registration);
         }
     }
 
@@ -407,7 +407,7 @@
         mTasks.post(
                 () -> {
                     if (mGate != null) {
-                        mGate.leave(id);
+                        mGate.remove(id);
                     }
                     Registration gone = mRegistry.leave(id, mClock.nanoTime());
                     logChange(gone);
@@ -423,7 +423,7 @@
             return;
         }
         long number = mDepartures.begin(done);
-        done.whenComplete((held, error) -> mTasks.post(() -> mDepartures.end(number)));
+        done.whenComplete((held, error) -> mTasks.post(() -> mDepartures.remove(number)));
         mLinks.sendToVoters(new Registrations(number, List.of(leaving)));
         // Without a start time, an entry applies a departure only if it is sent as just received.
         long entryNumber = leaving.incarnation().isStartStated() ? 0 : number;
@@ -466,15 +466,15 @@
         if (message instanceof Replication replication) {
             onReplication(replication);
         } else if (message instanceof InFlightSequences announced) {
-            mSequences.add(announced);
+            mSequenceRelay.add(announced);
         } else if (message instanceof QuotaRequest request) {
             onQuotaRequest(link, request);
         } else if (message instanceof QuotaReturn units) {
             mQuota.giveBack(units, mClock.nanoTime());
         } else if (message instanceof Registrations registrations) {
             onRegistrations(link, registrations);
-        } else if (message instanceof RegistrationsHeld held) {
-            onRegistrationsHeld(link, held);
+        } else if (message instanceof RegistrationsAck held) {
+            onRegistrationsAck(link, held);
         } else if (message instanceof TableRequest) {
             link.send(new TableDocument(mCommitted.tableVersion(), mCommitted.tableDocument()));
         } else if (message instanceof Voters voters) {
@@ -491,10 +491,10 @@
         link.send(mQuota.answer(request, nowNanos));
     }
 
-    private void onRegistrationsHeld(Link link, RegistrationsHeld held) {
+    private void onRegistrationsAck(Link link, RegistrationsAck held) {
         Optional<HostPort> sender = mLinks.voterAddress(link);
         if (sender.isPresent() && isMember(sender.get())) {
-            mDepartures.held(held.number(), sender.get(), mReplica.state().quorum());
+            mDepartures.acknowledge(held.number(), sender.get(), mReplica.state().quorum());
         }
     }
 
@@ -512,9 +512,8 @@
             link.close();
             return;
         }
-        // Quarantines and limits must reach an entry before the table with which it starts to
-        // serve.
-        mRecords.greet(link, greeting);
+        // An entry must have quarantines and limits before a table that it serves from.
+        mRecords.sendAllTo(link, greeting);
         if (greeting.voter() == null) {
             mLinks.entryGreeted(link, greeting);
             link.send(new Voters(knownVoters()));
@@ -526,7 +525,7 @@
         }
         link.send(new Registrations(0, mRegistry.all()));
         if (greeting.voter() == null) {
-            repeatDepartures(link);
+            resendDepartures(link);
         }
     }
 
@@ -535,17 +534,17 @@
      * contact with a quorum: this voter then knows of upstreams that have restarted since, and
      * their departures are not among these.
      */
-    private void repeatDepartures(Link entry) {
+    private void resendDepartures(Link entry) {
         List<Registration> departures = mRegistry.departuresWithoutStart();
         if (mReplica.isInTouch() && !departures.isEmpty()) {
-            entry.send(new Registrations(PendingDepartures.NONE, departures));
+            entry.send(new Registrations(PendingDepartures.UNTRACKED, departures));
         }
     }
 
     private void onReplication(Replication replication) {
         learn(replication.sender());
         mReplica.receive(replication.message(), replication.sender(), mClock.nanoTime());
-        noteRole();
+        logRoleChange();
     }
 
     private void learn(Member member) {
@@ -572,7 +571,7 @@
             changed.ifPresent(this::forward);
         }
         if (registrations.isDeparture()) {
-            link.send(new RegistrationsHeld(registrations.number()));
+            link.send(new RegistrationsAck(registrations.number()));
         }
     }
 
@@ -585,11 +584,11 @@
     private void tick() {
         mReplica.tick(mClock.nanoTime());
         mQuota.tick(mClock.nanoTime());
-        noteRole();
+        logRoleChange();
         orderStages();
-        if (mWasInTouch != mReplica.isInTouch()) {
-            mWasInTouch = mReplica.isInTouch();
-            LOG.info("quorum %s", mWasInTouch ? "regained" : "lost");
+        if (mHadQuorum != mReplica.isInTouch()) {
+            mHadQuorum = mReplica.isInTouch();
+            LOG.info("quorum %s", mHadQuorum ? "regained" : "lost");
             mLinks.sendToEntries(notice());
         }
     }
@@ -615,23 +614,23 @@
         return leads.completeOnTimeout(false, TICK_MILLIS, TimeUnit.MILLISECONDS).join();
     }
 
-    private void noteRole() {
-        if (mWasRole != mReplica.role()) {
-            mWasRole = mReplica.role();
-            LOG.info("role %s in term %d", mWasRole, mReplica.term());
+    private void logRoleChange() {
+        if (mLastRole != mReplica.role()) {
+            mLastRole = mReplica.role();
+            LOG.info("role %s in term %d", mLastRole, mReplica.term());
         }
     }
 
-    private void refresh() {
+    private void runMaintenance() {
         long nowNanos = mClock.nanoTime();
-        mLinks.forgetOld(mReplica.state().members(), nowNanos);
+        mLinks.forgetSilentPeers(mReplica.state().members(), nowNanos);
         mRegistry.forgetOld(nowNanos);
         mRecords.forgetEnded(mRegistry);
         mQuota.logUses();
         mLinks.sendToEntries(notice());
-        if (!mReceived.isEmpty()) {
-            mLinks.sendToVoters(new Registrations(0, List.copyOf(mReceived.values())));
-            mReceived.clear();
+        if (!mUnsent.isEmpty()) {
+            mLinks.sendToVoters(new Registrations(0, List.copyOf(mUnsent.values())));
+            mUnsent.clear();
         }
     }
 
@@ -688,7 +687,7 @@
                 LOG.info("table %d committed as consensus entry %s", state.tableVersion(), entry);
                 mLinks.sendToEntries(notice());
                 if (mGate != null) {
-                    followServices(mGate, state);
+                    parseTable(mGate, state);
                 }
             }
             if (voters) {
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterRecords.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterRecords.java
@@ -37,9 +37,9 @@
     }
 
     /** Sends all records to a newly linked peer. */
-    void greet(Link link, Greeting peer) {
-        mCrashes.greet(link, peer);
-        mLimits.greet(link, peer);
+    void sendAllTo(Link link, Greeting peer) {
+        mCrashes.sendAllTo(link, peer);
+        mLimits.sendAllTo(link, peer);
     }
 
     /** Merges the records of a message; ignores other messages. */
