--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/ClusterCodec.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/ClusterCodec.java
@@ -28,7 +28,7 @@
 import org.orchidmount.cluster.ClusterMessage.QuotaRequest;
 import org.orchidmount.cluster.ClusterMessage.QuotaReturn;
 import org.orchidmount.cluster.ClusterMessage.Registrations;
-import org.orchidmount.cluster.ClusterMessage.RegistrationsHeld;
+import org.orchidmount.cluster.ClusterMessage.RegistrationsAck;
 import org.orchidmount.cluster.ClusterMessage.Replication;
 import org.orchidmount.cluster.ClusterMessage.TableDocument;
 import org.orchidmount.cluster.ClusterMessage.TableNotice;
@@ -53,20 +53,23 @@
 import org.orchidmount.quota.QuotaLimit;
 
 /**
- * Writes and reads messages and the durable state as MessagePack: a type number, then the fields in
- * order. The most frequent messages are looked for first. Stateless and thread-safe.
+ * Encodes and decodes cluster messages and the durable state as MessagePack: a type number,
+ * followed by the fields in order. The most frequent types are tested first. Stateless and
+ * thread-safe.
  */
 final class ClusterCodec {
-    /** The longest list in a frame; the target has some 8,000 upstreams. */
-    private static final int MAX_LIST = 100_000;
+    /**
+     * Largest number of elements of a list in a frame; the target deployment has some 8,000
+     * upstreams.
+     */
+    private static final int MAX_LIST_ELEMENTS = 100_000;
 
-    /** The largest table document, inflated. */
+    /** Largest route table document after decompression. */
     private static final int MAX_DOCUMENT_BYTES = 64 * 1024 * 1024;
 
-    /** Bytes inflated at a time. */
-    private static final int INFLATE_STEP_BYTES = 16 * 1024;
+    private static final int BUFFER_BYTES = 16 * 1024;
 
-    /** The types of frames; their numbers are part of the protocol. */
+    /** Type numbers of frames, part of the protocol. */
     private static final int GREETING = 1;
 
     private static final int KEEP_ALIVE = 2;
@@ -75,15 +78,15 @@
     private static final int TABLE_REQUEST = 5;
     private static final int TABLE_DOCUMENT = 6;
     private static final int REGISTRATIONS = 7;
-    private static final int REGISTRATIONS_HELD = 8;
-    private static final int ENGINE_RUNS = 9;
+    private static final int REGISTRATIONS_ACK = 8;
+    private static final int IN_FLIGHT_SEQUENCES = 9;
     private static final int QUOTA_REQUEST = 10;
     private static final int QUOTA_REPLY = 11;
     private static final int QUOTA_RETURN = 12;
     private static final int CRASH_RECORDS = 13;
     private static final int UPSTREAM_LIMITS = 14;
 
-    /** The types of frames of the consensus. */
+    /** Type numbers of consensus frames, part of the protocol. */
     private static final int VOTE_REQUEST = 20;
 
     private static final int VOTE_REPLY = 21;
@@ -98,7 +101,7 @@
             write(out, message);
             return out.toByteArray();
         } catch (IOException e) {
-            throw new IllegalStateException("a message cannot be encoded", e);
+            throw new IllegalStateException("cannot encode cluster message", e);
         }
     }
 
@@ -107,17 +110,17 @@
     }
 
     /**
-     * Reads a message. Of a list, the entries that cannot be used are left out.
+     * Decodes a message. Unusable elements of a list are skipped.
      *
      * @param frame the encoded message
-     * @param refusals takes a message for each entry that is left out
-     * @throws IOException if the frame cannot be read
+     * @param rejections receives a description of each skipped element
+     * @throws IOException if the frame cannot be decoded
      */
-    static ClusterMessage decode(byte[] frame, Consumer<String> refusals) throws IOException {
+    static ClusterMessage decode(byte[] frame, Consumer<String> rejections) throws IOException {
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(frame)) {
-            return read(in, refusals);
+            return read(in, rejections);
         } catch (MessagePackException | IllegalArgumentException e) {
-            throw new IOException("a garbled frame: " + e.getMessage(), e);
+            throw new IOException("malformed frame: " + e.getMessage(), e);
         }
     }
 
@@ -134,8 +137,8 @@
             out.packLong(reply.answer().comeBackAfter().toNanos()).packString(reply.owner());
         } else if (message instanceof Registrations registrations) {
             writeRegistrations(out, registrations);
-        } else if (message instanceof RegistrationsHeld held) {
-            out.packInt(REGISTRATIONS_HELD).packLong(held.number());
+        } else if (message instanceof RegistrationsAck held) {
+            out.packInt(REGISTRATIONS_ACK).packLong(held.number());
         } else if (message instanceof QuotaReturn units) {
             out.packInt(QUOTA_RETURN).packString(units.key()).packLong(units.units());
         } else if (message instanceof CrashRecords crashes) {
@@ -148,7 +151,7 @@
             out.packInt(KEEP_ALIVE);
         } else if (message instanceof TableNotice notice) {
             out.packInt(TABLE_NOTICE).packLong(notice.version());
-            out.packBoolean(notice.inTouch()).packInt(notice.entries());
+            out.packBoolean(notice.hasQuorum()).packInt(notice.entries());
         } else if (message instanceof TableRequest) {
             out.packInt(TABLE_REQUEST);
         } else if (message instanceof TableDocument table) {
@@ -160,7 +163,7 @@
         } else if (message instanceof Greeting greeting) {
             writeGreeting(out, greeting);
         } else {
-            throw new IllegalStateException("no frame for " + message.getClass());
+            throw new IllegalStateException("no frame type for " + message.getClass());
         }
     }
 
@@ -239,7 +242,7 @@
             writeHead(out, HELLO, replication);
             writeEntry(out, hello.durable());
         } else {
-            throw new IllegalStateException("no frame for " + message.getClass());
+            throw new IllegalStateException("no frame type for " + message.getClass());
         }
     }
 
@@ -260,13 +263,14 @@
         }
     }
 
-    private static ClusterMessage read(MessageUnpacker in, Consumer<String> refusals)
+    private static ClusterMessage read(MessageUnpacker in, Consumer<String> rejections)
             throws IOException {
         int type = in.unpackInt();
         return switch (type) {
             case GREETING -> readGreeting(in);
             case KEEP_ALIVE -> new KeepAlive();
-            case VOTERS -> new Voters(usable(readMembers(in), PeerRecords::isUsable, refusals));
+            case VOTERS ->
+                    new Voters(usable(readMembers(in), PeerRecordValidator::isUsable, rejections));
             case TABLE_NOTICE ->
                     new TableNotice(in.unpackLong(), in.unpackBoolean(), in.unpackInt());
             case TABLE_REQUEST -> new TableRequest();
@@ -283,15 +287,15 @@
                     registrations.set(i, read.by(incarnation(read.id(), starts.get(i))));
                 }
                 yield new Registrations(
-                        number, usable(registrations, ClusterCodec::isUsable, refusals));
+                        number, usable(registrations, ClusterCodec::isUsable, rejections));
             }
-            case REGISTRATIONS_HELD -> new RegistrationsHeld(in.unpackLong());
+            case REGISTRATIONS_ACK -> new RegistrationsAck(in.unpackLong());
             case CRASH_RECORDS -> new CrashRecords(CrashRecordCodec.read(in));
             case UPSTREAM_LIMITS -> new UpstreamLimitRecords(UpstreamLimitCodec.read(in));
             case QUOTA_REQUEST -> readQuotaRequest(in);
             case QUOTA_REPLY -> readQuotaReply(in);
             case QUOTA_RETURN -> new QuotaReturn(in.unpackString(), readCount(in));
-            case ENGINE_RUNS -> {
+            case IN_FLIGHT_SEQUENCES -> {
                 List<InFlightSequence> sequences = new ArrayList<>();
                 for (int left = readSize(in); left > 0; left--) {
                     sequences.add(readSequence(in));
@@ -301,37 +305,42 @@
                     InFlightSequence read = sequences.get(i);
                     sequences.set(i, read.at(incarnation(read.upstreamId(), starts.get(i))));
                 }
-                yield new InFlightSequences(usable(sequences, PeerRecords::isUsable, refusals));
+                yield new InFlightSequences(
+                        usable(sequences, PeerRecordValidator::isUsable, rejections));
             }
             default -> readReplication(in, type);
         };
     }
 
     private static <T> List<T> usable(
-            List<T> entries, Predicate<T> isUsable, Consumer<String> refusals) {
+            List<T> entries, Predicate<T> isUsable, Consumer<String> rejections) {
         List<T> usable = new ArrayList<>(entries.size());
         for (T entry : entries) {
             if (isUsable.test(entry)) {
                 usable.add(entry);
             } else {
-                refusals.accept("an entry that cannot be used: " + entry);
+                rejections.accept("skipped unusable list element: " + entry);
             }
         }
         return usable;
     }
 
-    /** What was added later stands last; instances that do not send it are linked all the same. */
+    /**
+     * Reads a greeting. Fields added by later builds come last and are optional, so that greetings
+     * of earlier builds remain valid.
+     */
     private static Greeting readGreeting(MessageUnpacker in) throws IOException {
         int protocol = in.unpackInt();
         String node = in.unpackString();
-        Member voter = in.unpackBoolean() ? PeerRecords.requireUsable(readMember(in)) : null;
+        Member voter =
+                in.unpackBoolean() ? PeerRecordValidator.requireUsable(readMember(in)) : null;
         String zone = in.hasNext() ? in.unpackString() : "";
         int capabilities = in.hasNext() ? in.unpackInt() : 0;
         return new Greeting(protocol, node, zone, voter, Capability.fromBits(capabilities));
     }
 
     private static Replication readReplication(MessageUnpacker in, int type) throws IOException {
-        Member sender = PeerRecords.requireUsable(readMember(in));
+        Member sender = PeerRecordValidator.requireUsable(readMember(in));
         long term = in.unpackLong();
         ReplicaMessage message =
                 switch (type) {
@@ -350,7 +359,7 @@
                     case APPEND_REPLY ->
                             new AppendReply(term, sender.id(), readEntry(in), in.unpackLong());
                     case HELLO -> new Hello(term, sender, readEntry(in));
-                    default -> throw new IOException("a frame of the unknown type " + type);
+                    default -> throw new IOException("unknown frame type " + type);
                 };
         return new Replication(sender, message);
     }
@@ -373,7 +382,7 @@
                     readEntry(in),
                     readState(in));
         } catch (MessagePackException e) {
-            throw new IOException("a garbled state: " + e.getMessage(), e);
+            throw new IOException("malformed durable state: " + e.getMessage(), e);
         }
     }
 
@@ -428,7 +437,10 @@
         out.packInt(registration.state().ordinal()).packLong(registration.sequence());
     }
 
-    /** Its stage or state is null if an instance of another version has sent one unknown here. */
+    /**
+     * Reads a registration. Its stage or state is null if a peer of another version sent a value
+     * that is unknown here.
+     */
     private static Registration readRegistration(MessageUnpacker in) throws IOException {
         return new Registration(
                 in.unpackString(),
@@ -442,8 +454,9 @@
     }
 
     /**
-     * Writes the starts of upstreams, which come last in a frame: an instance that does not know
-     * starts reads the frame all the same and leaves them out. A frame without any ends before.
+     * Writes the start times of upstreams at the end of a frame, so that a peer that does not know
+     * this field can still read the frame and ignores it. Writes nothing if no start time is
+     * stated.
      */
     private static void writeStarts(MessageBufferPacker out, List<Incarnation> incarnations)
             throws IOException {
@@ -460,7 +473,10 @@
         }
     }
 
-    /** Reads the starts of as many upstreams as a frame has named; none if it ends before. */
+    /**
+     * Reads the start times of the given number of upstreams; returns an empty list if the frame
+     * has no such field.
+     */
     private static List<OptionalLong> readStarts(MessageUnpacker in, int upstreams)
             throws IOException {
         if (!in.hasNext()) {
@@ -468,7 +484,8 @@
         }
         int size = readSize(in);
         if (size != upstreams) {
-            throw new IOException("a frame holds %d starts of %d".formatted(size, upstreams));
+            throw new IOException(
+                    "malformed frame: %d start times for %d upstreams".formatted(size, upstreams));
         }
         List<OptionalLong> starts = new ArrayList<>();
         for (int left = size; left > 0; left--) {
@@ -486,7 +503,7 @@
 
     private static void writeSequences(MessageBufferPacker out, List<InFlightSequence> sequences)
             throws IOException {
-        out.packInt(ENGINE_RUNS).packArrayHeader(sequences.size());
+        out.packInt(IN_FLIGHT_SEQUENCES).packArrayHeader(sequences.size());
         for (InFlightSequence sequence : sequences) {
             out.packString(sequence.upstreamId()).packString(sequence.id());
             out.packInt(sequence.promptTokens()).packInt(sequence.expectedTokens());
@@ -509,7 +526,7 @@
 
     private static boolean isUsable(Registration registration) {
         boolean isKnown = registration.stage() != null && registration.state() != null;
-        return isKnown && PeerRecords.isUsable(registration);
+        return isKnown && PeerRecordValidator.isUsable(registration);
     }
 
     private static <T> T constantOrNull(T[] values, int ordinal) {
@@ -519,7 +536,7 @@
     private static <T> T constant(T[] values, int ordinal) throws IOException {
         T constant = constantOrNull(values, ordinal);
         if (constant == null) {
-            throw new IOException("a frame holds the unknown constant " + ordinal);
+            throw new IOException("malformed frame: unknown enum ordinal " + ordinal);
         }
         return constant;
     }
@@ -527,54 +544,57 @@
     private static long readCount(MessageUnpacker in) throws IOException {
         long count = in.unpackLong();
         if (count < 0) {
-            throw new IOException("a frame holds the count " + count);
+            throw new IOException("malformed frame: negative count " + count);
         }
         return count;
     }
 
     private static int readSize(MessageUnpacker in) throws IOException {
         int size = in.unpackArrayHeader();
-        if (size > MAX_LIST) {
-            throw new IOException("a frame holds a list of " + size);
+        if (size > MAX_LIST_ELEMENTS) {
+            throw new IOException("malformed frame: too many list elements: " + size);
         }
         return size;
     }
 
-    /** Documents are compressed: they are text, and links between zones are dear. */
+    /**
+     * Writes a compressed document: documents are text, and traffic between availability zones is
+     * expensive.
+     */
     private static void writeDocument(MessageBufferPacker out, byte[] document) throws IOException {
         Deflater deflater = new Deflater(Deflater.BEST_SPEED);
         try {
             deflater.setInput(document);
             deflater.finish();
-            ByteArrayOutputStream packed = new ByteArrayOutputStream();
-            byte[] step = new byte[INFLATE_STEP_BYTES];
+            ByteArrayOutputStream compressed = new ByteArrayOutputStream();
+            byte[] buffer = new byte[BUFFER_BYTES];
             while (!deflater.finished()) {
-                packed.write(step, 0, deflater.deflate(step));
+                compressed.write(buffer, 0, deflater.deflate(buffer));
             }
-            out.packBinaryHeader(packed.size()).writePayload(packed.toByteArray());
+            out.packBinaryHeader(compressed.size()).writePayload(compressed.toByteArray());
         } finally {
             deflater.end();
         }
     }
 
     private static byte[] readDocument(MessageUnpacker in) throws IOException {
-        byte[] packed = in.readPayload(in.unpackBinaryHeader());
+        byte[] compressed = in.readPayload(in.unpackBinaryHeader());
         Inflater inflater = new Inflater();
         try {
-            inflater.setInput(packed);
+            inflater.setInput(compressed);
             ByteArrayOutputStream document = new ByteArrayOutputStream();
-            byte[] step = new byte[INFLATE_STEP_BYTES];
+            byte[] buffer = new byte[BUFFER_BYTES];
             while (!inflater.finished()) {
-                int count = inflater.inflate(step);
-                boolean stuck = count == 0 && !inflater.finished();
-                if (stuck || document.size() + count > MAX_DOCUMENT_BYTES) {
-                    throw new IOException("a frame holds a garbled document");
+                int count = inflater.inflate(buffer);
+                boolean isTruncated = count == 0 && !inflater.finished();
+                if (isTruncated || document.size() + count > MAX_DOCUMENT_BYTES) {
+                    throw new IOException("malformed frame: table document truncated or too large");
                 }
-                document.write(step, 0, count);
+                document.write(buffer, 0, count);
             }
             return document.toByteArray();
         } catch (DataFormatException e) {
-            throw new IOException("a frame holds a garbled document", e);
+            throw new IOException("malformed frame: table document cannot be decompressed", e);
         } finally {
             inflater.end();
         }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/Dialer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/Dialer.java
@@ -14,22 +14,23 @@
 import org.orchidmount.internal.log.PartLog;
 
 /**
- * Keeps a link to one address open: connects again whenever it breaks, with growing pauses.
- *
- * <p>Thread-safe.
+ * Keeps a link to one address open: reconnects with exponential backoff whenever it breaks.
+ * Thread-safe.
  */
 final class Dialer implements AutoCloseable {
-    /** Tries are many, so each is logged at the debug level only. */
+    /** Failed attempts are frequent while a peer is down, so each is logged at debug level only. */
     private static final PartLog LOG = PartLog.of("link");
 
-    /** Far more than a round trip between the regions of a site. */
+    /** Far longer than a round trip between the regions of a site. */
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
 
-    /** The first pause between tries; it doubles with each. */
-    private static final long FIRST_PAUSE_MILLIS = 80;
+    /** Delay before the first reconnection attempt; doubled after each failed attempt. */
+    private static final long MIN_BACKOFF_MILLIS = 80;
 
-    /** The longest pause between tries, so that a healed link is used soon. */
-    private static final long LONGEST_PAUSE_MILLIS = 800;
+    /**
+     * Upper bound of the backoff; short, so that a link is restored soon after its path recovers.
+     */
+    private static final long MAX_BACKOFF_MILLIS = 800;
 
     private final HostPort mAddress;
     private final Greeting mGreeting;
@@ -46,22 +47,26 @@
     }
 
     private void keepOpen() {
-        long pauseMillis = FIRST_PAUSE_MILLIS;
+        long backoffMillis = MIN_BACKOFF_MILLIS;
         while (!mClosed) {
             if (connect()) {
-                pauseMillis = FIRST_PAUSE_MILLIS;
+                backoffMillis = MIN_BACKOFF_MILLIS;
             }
             try {
                 Thread.sleep(
-                        pauseMillis + ThreadLocalRandom.current().nextLong(pauseMillis / 2 + 1));
+                        backoffMillis
+                                + ThreadLocalRandom.current().nextLong(backoffMillis / 2 + 1));
             } catch (InterruptedException e) {
                 return;
             }
-            pauseMillis = Math.min(LONGEST_PAUSE_MILLIS, 2 * pauseMillis);
+            backoffMillis = Math.min(MAX_BACKOFF_MILLIS, 2 * backoffMillis);
         }
     }
 
-    /** Connects once and carries messages until the link breaks; returns whether it was open. */
+    /**
+     * Connects once and processes messages until the link breaks; returns whether the connection
+     * was established.
+     */
     private boolean connect() {
         Socket socket = new Socket();
         try {
@@ -80,11 +85,11 @@
     }
 
     private void closeAfter(IOException failure, Socket socket) {
-        LOG.debug("%s cannot be reached: %s", mAddress, failure);
+        LOG.debug("cannot connect to %s: %s", mAddress, failure);
         try {
             socket.close();
         } catch (IOException e) {
-            LOG.debug("the socket of %s cannot be closed: %s", mAddress, e);
+            LOG.debug("cannot close the socket of %s: %s", mAddress, e);
         }
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/LinkServer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/LinkServer.java
@@ -13,20 +13,20 @@
 import org.orchidmount.internal.log.PartLog;
 
 /**
- * Takes links from other instances.
+ * Accepts links from other instances.
  *
- * <p>Invariant: once it is closed its address is free. Thread-safe.
+ * <p>Invariant: after {@link #close} the address can be bound again. Thread-safe.
  */
 final class LinkServer implements AutoCloseable {
     private static final PartLog LOG = PartLog.of("link");
 
-    /** Connections not yet accepted; more than a site has instances. */
+    /** Backlog of the listening socket; larger than the number of instances of a site. */
     private static final int BACKLOG = 512;
 
     private final ServerSocket mSocket;
     private final Greeting mGreeting;
     private final Link.Handler mHandler;
-    private final Thread mAccepting;
+    private final Thread mAcceptThread;
 
     LinkServer(HostPort address, Greeting greeting, Link.Handler handler) throws IOException {
         mGreeting = greeting;
@@ -34,7 +34,7 @@
         mSocket = new ServerSocket();
         mSocket.setReuseAddress(true);
         mSocket.bind(new InetSocketAddress(address.host(), address.port()), BACKLOG);
-        mAccepting = Thread.ofVirtual().name("link-server").start(this::accept);
+        mAcceptThread = Thread.ofVirtual().name("link-server").start(this::accept);
     }
 
     int port() {
@@ -50,7 +50,7 @@
                 Thread.ofVirtual().name("link-reader").start(link::run);
             } catch (IOException e) {
                 if (!mSocket.isClosed()) {
-                    LOG.warn("a link was not taken: %s", e);
+                    LOG.warn("cannot accept a connection: %s", e);
                 }
             }
         }
@@ -61,15 +61,18 @@
         try {
             mSocket.close();
         } catch (IOException e) {
-            LOG.warn("the listener was not closed: %s", e);
+            LOG.warn("cannot close the listening socket: %s", e);
         }
-        awaitEnd();
+        awaitAcceptThread();
     }
 
-    /** The thread that waits for links keeps the socket, and its address, until it wakes. */
-    private void awaitEnd() {
+    /**
+     * Waits for the accepting thread, which keeps the socket and its address in use until it
+     * returns.
+     */
+    private void awaitAcceptThread() {
         try {
-            mAccepting.join();
+            mAcceptThread.join();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/QuotaRequests.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/QuotaRequests.java
@@ -20,19 +20,22 @@
 import org.orchidmount.quota.QuotaAsk;
 
 /**
- * The questions of an entry to the owner of the buckets, which is the voter that leads.
+ * An entry's requests for quota to the owner of the token buckets, which is the leading voter.
  *
- * <p>An entry asks the voter that it last knew to lead; one that does not names the leader, which
- * is asked next. While the leader is silent, or there is none, another voter is asked to grant what
- * it may without the lease; entries and keys are spread over all voters, so that what each may
- * grant is used. Invariant: units that are granted to nobody who waits are given back. Confined to
- * the entry's thread.
+ * <p>An entry asks the voter that it last knew to lead; a voter that does not lead names the
+ * leader, which is asked next. While the leader does not respond, or there is none, another voter
+ * is asked to grant units from its reserve, without the lease; entries and keys are spread over all
+ * voters, so that the reserves of all are used. Invariant: units granted after the caller has given
+ * up are returned. Confined to the entry's thread.
  */
 final class QuotaRequests {
     private static final PartLog LOG = PartLog.of("quota");
 
-    /** How often a question is sent: to a voter, to the leader it names, and to a successor. */
-    private static final int MAX_TRIES = 3;
+    /**
+     * Maximum number of attempts: one each at any voter, the leader that it names, and a new
+     * leader.
+     */
+    private static final int MAX_ATTEMPTS = 3;
 
     private final int mSpread;
     private final Map<Long, Pending> mPending = new LinkedHashMap<>();
@@ -40,33 +43,33 @@
             new TreeMap<>(Comparator.comparing(HostPort::toString));
     private long mLastNumber;
 
-    /** The voter that leads, as far as is known here; null if none is known. */
+    /** Leading voter as far as known; null if unknown. */
     private HostPort mOwner;
 
-    /** A question that waits for an answer of a voter. */
+    /** A request that awaits a voter's reply. */
     private record Pending(
             QuotaAsk ask,
             CompletableFuture<QuotaAnswer> answer,
             HostPort asked,
             boolean isOwnerSilent,
-            int tries) {}
+            int attempts) {}
 
     /**
-     * Creates it without any voter.
+     * Creates an instance without linked voters.
      *
-     * @param spread a number of this entry, so that entries ask different voters
+     * @param spread a number specific to this entry, so that entries ask different voters
      */
     QuotaRequests(int spread) {
         mSpread = spread;
     }
 
-    /** Learns that a voter can be asked. */
-    void linked(HostPort voter, Link link) {
+    /** Adds a linked voter. */
+    void onVoterLinked(HostPort voter, Link link) {
         mVoters.put(voter, link);
     }
 
-    /** Learns that a voter is lost: what it was asked is asked of another. */
-    void lost(HostPort voter, Link link) {
+    /** Removes a voter whose link was lost; its pending requests are sent to another voter. */
+    void onVoterLost(HostPort voter, Link link) {
         if (!mVoters.remove(voter, link)) {
             return;
         }
@@ -77,24 +80,27 @@
         asked.removeIf(pending -> !pending.asked().equals(voter));
         mPending.values().removeIf(pending -> pending.asked().equals(voter));
         asked.removeIf(pending -> pending.answer().isDone());
-        asked.forEach(pending -> send(pending.ask(), pending.answer(), pending.tries()));
+        asked.forEach(pending -> send(pending.ask(), pending.answer(), pending.attempts()));
     }
 
-    /** Asks for units. */
+    /**
+     * Requests units; the future completes with the reply, or with {@code NO_OWNER} if no voter can
+     * grant them.
+     */
     void ask(QuotaAsk ask, CompletableFuture<QuotaAnswer> answer) {
         send(ask, answer, 0);
     }
 
-    private void send(QuotaAsk ask, CompletableFuture<QuotaAnswer> answer, int tries) {
+    private void send(QuotaAsk ask, CompletableFuture<QuotaAnswer> answer, int attempts) {
         boolean isOwnerUsable = isOwnerUsable();
         HostPort asked = isOwnerUsable ? mOwner : voterWithoutLease(ask);
-        if (asked == null || tries >= MAX_TRIES) {
+        if (asked == null || attempts >= MAX_ATTEMPTS) {
             answer.complete(QuotaAnswer.NO_OWNER);
             return;
         }
         long number = ++mLastNumber;
-        boolean isOwnerSilent = !isOwnerUsable && (mOwner != null || tries > 0);
-        mPending.put(number, new Pending(ask, answer, asked, isOwnerSilent, tries + 1));
+        boolean isOwnerSilent = !isOwnerUsable && (mOwner != null || attempts > 0);
+        mPending.put(number, new Pending(ask, answer, asked, isOwnerSilent, attempts + 1));
         mVoters.get(asked).send(new QuotaRequest(number, ask, isOwnerSilent));
     }
 
@@ -102,7 +108,10 @@
         return mOwner != null && mVoters.containsKey(mOwner) && !isSilent(mOwner);
     }
 
-    /** Tells whether a voter has let the one who waited for its oldest answer give up. */
+    /**
+     * Returns whether a voter is considered silent: the caller of its oldest pending request has
+     * given up.
+     */
     private boolean isSilent(HostPort voter) {
         return mPending.values().stream()
                 .filter(pending -> pending.asked().equals(voter))
@@ -111,7 +120,7 @@
                 .orElse(false);
     }
 
-    /** Chooses a voter that answers; null if there is none. */
+    /** Returns a responsive voter chosen by entry and key; null if there is none. */
     private HostPort voterWithoutLease(QuotaAsk ask) {
         List<HostPort> answering =
                 mVoters.keySet().stream().filter(voter -> !isSilent(voter)).toList();
@@ -121,8 +130,8 @@
         return answering.get(Math.floorMod(mSpread + ask.key().hashCode(), answering.size()));
     }
 
-    /** Takes an answer. */
-    void received(QuotaReply reply) {
+    /** Handles the reply of a voter. */
+    void onReply(QuotaReply reply) {
         Pending pending = mPending.remove(reply.number());
         learnOwner(reply);
         if (pending == null) {
@@ -138,26 +147,26 @@
     private void learnOwner(QuotaReply reply) {
         HostPort named = reply.owner().isEmpty() ? null : HostPort.parse(reply.owner());
         if (named != null && !named.equals(mOwner)) {
-            LOG.info("%s owns the limits of accounts", named);
+            LOG.info("%s is now the quota owner", named);
         }
         mOwner = named;
     }
 
     /**
-     * Asks the owner that an answer has named, or without one a voter that may grant without the
-     * lease, unless the answer came from one.
+     * Retries a request after a reply without an owner: asks the owner that the reply named, else a
+     * voter that may grant units without the lease, unless the reply came from such a voter.
      */
     private void onNoOwner(Pending pending) {
         boolean hasOwner = isOwnerUsable() && !mOwner.equals(pending.asked());
         boolean mayAsk = hasOwner || !pending.isOwnerSilent();
         if (mayAsk && !pending.answer().isDone()) {
-            send(pending.ask(), pending.answer(), pending.tries());
+            send(pending.ask(), pending.answer(), pending.attempts());
         } else {
             pending.answer().complete(QuotaAnswer.NO_OWNER);
         }
     }
 
-    /** Units that came too late go back to the voter that granted them. */
+    /** Returns units that were granted too late to the voter that granted them. */
     private void giveBackTo(HostPort voter, QuotaAsk ask, QuotaAnswer answer) {
         Link link = mVoters.get(voter);
         if (answer.outcome() == QuotaAnswer.Outcome.GRANTED && link != null) {
@@ -165,7 +174,7 @@
         }
     }
 
-    /** Gives units back to the owner, also to a successor: they were used nowhere. */
+    /** Returns unused units to the current owner, even if its predecessor granted them. */
     void giveBack(String key, long units) {
         Link link = mOwner == null ? null : mVoters.get(mOwner);
         if (link != null) {
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/StageController.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/StageController.java
@@ -20,42 +20,57 @@
 import org.orchidmount.routing.EngineStagePlan;
 
 /**
- * Gives orders to engines while its voter leads, by {@link EngineStagePlan}.
+ * Orders engines to change their stage while its voter leads, as planned by {@link
+ * EngineStagePlan}.
  *
- * <p>Invariants: the fencing token is the leader's term, so no two holders share one; a leader
- * waits until the lease of the one before must be out; one order is under way at a time, and one
- * that may yet be done is waited for before the next; an order ends with the start of the engine
- * that it was meant for, and is not sent after that; an engine that has asked for a pause is given
- * none until that is over. All state belongs to the voter's thread; an order runs on a thread of
- * its own, which only hands over how it ended and what the engine's answers state.
+ * <p>Invariants:
+ *
+ * <ul>
+ *   <li>the fencing token is the leader's term, so no two leaders share one;
+ *   <li>a new leader waits until the lease of its predecessor must have expired;
+ *   <li>one order is in progress at a time, and one that may still take effect is waited for before
+ *       the next is sent;
+ *   <li>an order applies to one incarnation of an engine only, and is not sent once that has
+ *       restarted;
+ *   <li>an engine that has asked for a pause is sent no order until the pause is over.
+ * </ul>
+ *
+ * <p>All state is confined to the voter's thread; an order runs on its own thread, which only hands
+ * over its result and what the engine's responses state.
  */
 final class StageController {
     private static final PartLog LOG = PartLog.of("orders");
 
-    /** How long a change must be due, so that a restart of an engine orders none. */
-    private static final Duration SETTLE = Duration.ofMillis(1_200);
+    /**
+     * Time for which a change must be due before it is ordered, so that the restart of an engine
+     * triggers none.
+     */
+    private static final Duration SETTLE_TIME = Duration.ofMillis(1_200);
 
     /**
-     * The same for a change to prefill: an engine that is lost is often back within seconds, and
-     * its change would take a second engine from the output.
+     * Same for a change to prefill: an engine that is lost often returns within seconds, and
+     * replacing it would take a second engine from decoding.
      */
     private static final Duration SETTLE_AFTER_LOSS = Duration.ofSeconds(7);
 
-    /** Pause after an order, from its start: an engine's change shows in its heartbeats. */
-    private static final Duration REST = Duration.ofSeconds(3);
+    /** Pause after the start of an order, until the engine's change shows in its heartbeats. */
+    private static final Duration ORDER_COOLDOWN = Duration.ofSeconds(3);
 
-    /** How long an order may yet be done: the engines' 6 s for a change, twice and more. */
-    private static final Duration WAIT_FOR_DONE = Duration.ofSeconds(16);
+    /**
+     * Time for which an order may still take effect: more than twice the 6 s that an engine may
+     * take for a change.
+     */
+    private static final Duration ORDER_TIMEOUT = Duration.ofSeconds(16);
 
-    /** Added to the lease of the leader before, for clocks that run at different rates. */
+    /** Margin on the predecessor's lease for clocks that run at different rates. */
     private static final Duration LEASE_MARGIN = Duration.ofMillis(700);
 
-    /** Heartbeats that an engine may miss and still count. */
+    /** Number of heartbeats that an engine may miss and still be counted. */
     private static final int HEARTBEATS_MISSED = 3;
 
     /**
-     * Heartbeats after which an engine that fell silent is no longer expected back: on the users'
-     * platforms some 12 s, twice what an engine takes to change its stage.
+     * Number of missed heartbeats after which an engine is no longer expected to return: some 12 s
+     * on the users' platforms, twice the time that an engine takes to change its stage.
      */
     private static final int HEARTBEATS_UNTIL_LOST = 10;
 
@@ -65,31 +80,35 @@
     private final UpstreamPauses mPauses;
     private final Consumer<Registration> mDepartures;
     private final String mHolder;
-    private final AtomicBoolean mCalling = new AtomicBoolean();
-    private final AtomicReference<Ended> mEnded = new AtomicReference<>();
+    private final AtomicBoolean mIsOrderInProgress = new AtomicBoolean();
+    private final AtomicReference<OrderResult> mLastResult = new AtomicReference<>();
     private long mTerm = -1;
     private long mTermSinceNanos;
     private boolean mFenced;
     private EngineStagePlan.Change mDue;
     private long mDueSinceNanos;
-    private long mRestUntilNanos;
-    private long mGivenNanos;
+    private long mCooldownUntilNanos;
+    private long mOrderedNanos;
     private StageOrders.Order mPending;
 
-    /** True once the engine of the order that was given last has started again. */
-    private AtomicBoolean mStartedAgain = new AtomicBoolean();
+    /**
+     * Whether the engine of the last order has restarted since; shared with the thread of that
+     * order.
+     */
+    private AtomicBoolean mHasRestarted = new AtomicBoolean();
 
-    /** How an order ended, and when it was given. */
-    private record Ended(StageOrders.Order order, StageOrders.Result result, long givenNanos) {}
+    /** The result of an order and the time at which it was given. */
+    private record OrderResult(
+            StageOrders.Order order, StageOrders.Result result, long orderedNanos) {}
 
     /**
-     * Creates it.
+     * Creates a controller.
      *
-     * @param config the engines, and how they are ordered
-     * @param holder the name that orders are given under
-     * @param pauses the pauses that engines ask this instance for
-     * @param departures takes the registrations of engines that say in an answer that they leave,
-     *     from any thread
+     * @param config the engines' settings and the client that sends orders
+     * @param holder the name under which orders are given
+     * @param pauses the pauses that engines have asked this instance for
+     * @param departures receives the registrations of engines that state in a response that they
+     *     are leaving; called on any thread
      */
     StageController(
             VoterConfig.Stages config,
@@ -104,28 +123,29 @@
         mHolder = holder;
     }
 
-    /** Tells whether an order is under way. */
-    boolean isCalling() {
-        return mCalling.get();
+    /** Returns whether an order is in progress; may be called on any thread. */
+    boolean isOrderInProgress() {
+        return mIsOrderInProgress.get();
     }
 
-    /** Returns how long an upstream may be silent and still be counted. */
+    /** Returns the time for which a silent upstream still counts as running. */
     Duration countedWithin() {
         return mConfig.heartbeat().multipliedBy(HEARTBEATS_MISSED);
     }
 
-    /** Returns how long an upstream may be silent and still be expected back. */
+    /** Returns the time for which a silent upstream is still expected to return. */
     Duration expectedWithin() {
         return mConfig.heartbeat().multipliedBy(HEARTBEATS_UNTIL_LOST);
     }
 
     /**
-     * Lets time pass.
+     * Processes the result of the last order and gives the next one if it is due; called
+     * periodically.
      *
      * @param term the voter's term, or -1 if it does not lead a quorum
-     * @param current the upstreams whose heartbeats are recent
-     * @param silent those that have lately stopped to send any and are expected back
-     * @param stillHeld tells, from any thread, whether the voter still leads that term
+     * @param current the upstreams with recent heartbeats
+     * @param silent the upstreams that have recently become silent and are expected to return
+     * @param stillHeld returns, on any thread, whether the voter still leads in that term
      * @param nowNanos the monotonic time
      */
     void tick(
@@ -134,19 +154,19 @@
             List<Registration> silent,
             BooleanSupplier stillHeld,
             long nowNanos) {
-        follow(term, nowNanos);
-        dropOfEarlierStart(current);
-        if (mCalling.get()) {
+        updateTerm(term, nowNanos);
+        dropOrderOfEarlierIncarnation(current);
+        if (mIsOrderInProgress.get()) {
             return;
         }
-        Optional.ofNullable(mEnded.getAndSet(null)).ifPresent(this::settle);
-        boolean resting = nowNanos - mRestUntilNanos < 0;
-        if (!holds(nowNanos) || mFenced || resting) {
+        Optional.ofNullable(mLastResult.getAndSet(null)).ifPresent(this::applyResult);
+        boolean isCoolingDown = nowNanos - mCooldownUntilNanos < 0;
+        if (!mayGiveOrders(nowNanos) || mFenced || isCoolingDown) {
             return;
         }
         if (mPending != null
-                && mayYetBeDone(nowNanos)
-                && current.stream().noneMatch(this::isDone)) {
+                && mayStillTakeEffect(nowNanos)
+                && current.stream().noneMatch(this::hasTakenEffect)) {
             return;
         }
         mPending = null;
@@ -154,11 +174,11 @@
         if (change.isEmpty()) {
             mDue = null;
         } else if (isSettled(change.get(), nowNanos) && !isPaused(change.get())) {
-            give(change.get(), stillHeld, nowNanos);
+            startOrder(change.get(), stillHeld, nowNanos);
         }
     }
 
-    private void follow(long term, long nowNanos) {
+    private void updateTerm(long term, long nowNanos) {
         if (term != mTerm) {
             mTerm = term;
             mTermSinceNanos = nowNanos;
@@ -169,10 +189,11 @@
     }
 
     /**
-     * Drops the order whose engine has started again: it knows of none. The pause after an order
-     * stays, since one without an answer may yet reach the new start, which takes it for its own.
+     * Drops the pending order if its engine has restarted, since the new incarnation does not know
+     * of it. The pause after the order still applies: an unanswered order may yet reach the new
+     * incarnation, which would accept it as its own.
      */
-    private void dropOfEarlierStart(List<Registration> current) {
+    private void dropOrderOfEarlierIncarnation(List<Registration> current) {
         if (mPending == null) {
             return;
         }
@@ -183,36 +204,36 @@
                         .filter(incarnation -> incarnation.provesEndOf(ordered))
                         .findAny();
         if (next.isPresent()) {
-            LOG.info("engine %s has started again as %s; its order ends", ordered, next.get());
-            mStartedAgain.set(true);
+            LOG.info("engine %s has restarted as %s; its order is dropped", ordered, next.get());
+            mHasRestarted.set(true);
             mPending = null;
         }
     }
 
-    /** Tells whether the lease of every leader before must be out. */
-    private boolean holds(long nowNanos) {
+    /** Returns whether the leases of all previous leaders must have expired. */
+    private boolean mayGiveOrders(long nowNanos) {
         Duration wait = mConfig.lease().plus(LEASE_MARGIN);
         return mTerm >= 0 && nowNanos - mTermSinceNanos > wait.toNanos();
     }
 
-    private boolean mayYetBeDone(long nowNanos) {
-        return nowNanos - mGivenNanos < WAIT_FOR_DONE.toNanos();
+    private boolean mayStillTakeEffect(long nowNanos) {
+        return nowNanos - mOrderedNanos < ORDER_TIMEOUT.toNanos();
     }
 
-    /** Tells whether the engine that was ordered has its new stage. */
-    private boolean isDone(Registration registration) {
+    /** Returns whether a registration shows that the pending order took effect. */
+    private boolean hasTakenEffect(Registration registration) {
         return registration.id().equals(mPending.engine().id())
                 && registration.stage() == mPending.stage();
     }
 
-    /** Tells whether a change to the same stage has been due for long enough. */
+    /** Returns whether a change to the same stage has been due for long enough. */
     private boolean isSettled(EngineStagePlan.Change change, long nowNanos) {
         if (mDue == null || mDue.stage() != change.stage()) {
             mDue = change;
             mDueSinceNanos = nowNanos;
         }
         boolean toPrefill = change.stage() == Registration.Stage.PREFILL;
-        Duration settle = toPrefill ? SETTLE_AFTER_LOSS : SETTLE;
+        Duration settle = toPrefill ? SETTLE_AFTER_LOSS : SETTLE_TIME;
         return nowNanos - mDueSinceNanos > settle.toNanos();
     }
 
@@ -220,34 +241,35 @@
         return mPauses.isPaused(change.engine().incarnation());
     }
 
-    private void give(EngineStagePlan.Change change, BooleanSupplier stillHeld, long nowNanos) {
+    private void startOrder(
+            EngineStagePlan.Change change, BooleanSupplier stillHeld, long nowNanos) {
         StageOrders.Order order =
                 new StageOrders.Order(change.engine(), change.stage(), mHolder, mTerm);
         mPending = order;
-        mGivenNanos = nowNanos;
+        mOrderedNanos = nowNanos;
         mDue = null;
-        mCalling.set(true);
-        AtomicBoolean startedAgain = new AtomicBoolean();
-        mStartedAgain = startedAgain;
-        BooleanSupplier maySend = () -> !startedAgain.get() && stillHeld.getAsBoolean();
+        mIsOrderInProgress.set(true);
+        AtomicBoolean hasRestarted = new AtomicBoolean();
+        mHasRestarted = hasRestarted;
+        BooleanSupplier maySend = () -> !hasRestarted.get() && stillHeld.getAsBoolean();
         LOG.info(
-                "engine %s at %s is to be %s, fence %d",
+                "ordering engine %s at %s to change to stage %s, fencing token %d",
                 order.engine().id(), order.engine().address(), order.stage(), order.fence());
-        Thread.ofVirtual().name("order").start(() -> call(order, maySend, nowNanos));
+        Thread.ofVirtual().name("order").start(() -> sendOrder(order, maySend, nowNanos));
     }
 
-    /** Runs on a thread of its own. */
-    private void call(StageOrders.Order order, BooleanSupplier stillHeld, long givenNanos) {
+    /** Sends an order and records its result; runs on the order's own thread. */
+    private void sendOrder(StageOrders.Order order, BooleanSupplier stillHeld, long orderedNanos) {
         StageOrders.Result result = StageOrders.Result.UNKNOWN;
         try {
             result =
                     mOrders.changeStage(
                             order, stillHeld, stated -> observe(order.engine(), stated));
         } finally {
-            LOG.info("engine %s: order %s", order.engine().id(), result);
-            mEnded.set(new Ended(order, result, givenNanos));
-            // Last: the voter's thread reads how the order ended once this is false.
-            mCalling.set(false);
+            LOG.info("engine %s: result of the order is %s", order.engine().id(), result);
+            mLastResult.set(new OrderResult(order, result, orderedNanos));
+            // Must come last: once this is false, the voter's thread reads the result.
+            mIsOrderInProgress.set(false);
         }
     }
 
@@ -258,16 +280,16 @@
         }
     }
 
-    private void settle(Ended ended) {
+    private void applyResult(OrderResult ended) {
         switch (ended.result()) {
-            case TAKEN -> mRestUntilNanos = ended.givenNanos() + REST.toNanos();
+            case TAKEN -> mCooldownUntilNanos = ended.orderedNanos() + ORDER_COOLDOWN.toNanos();
             case REFUSED -> {
                 mPending = null;
-                mRestUntilNanos = ended.givenNanos() + REST.toNanos();
+                mCooldownUntilNanos = ended.orderedNanos() + ORDER_COOLDOWN.toNanos();
             }
             case FENCED -> mFenced = ended.order().fence() == mTerm;
-            case UNKNOWN -> mRestUntilNanos = ended.givenNanos() + WAIT_FOR_DONE.toNanos();
-            default -> throw new IllegalStateException("unknown result " + ended.result());
+            case UNKNOWN -> mCooldownUntilNanos = ended.orderedNanos() + ORDER_TIMEOUT.toNanos();
+            default -> throw new IllegalStateException("unexpected order result " + ended.result());
         }
     }
 }
