--- a/org.orchidmount/src/main/java/org/orchidmount/report/RequestEnd.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/report/RequestEnd.java
@@ -5,75 +5,81 @@
  */
 package org.orchidmount.report;
 
-/** How a request ended, and why not better. The names are part of the log's format. */
+/** The outcome of a request. The names are part of the log format. */
 public enum RequestEnd {
-    /** Served within its target, and streamed without a harmful pause. */
+    /** Served within the target latency and, if streamed, without a harmful gap between events. */
     IN_TIME,
-    /** Served, but its caller had been refused before, so that it came late. */
+    /** Served, but late because the caller had been refused before and had to retry. */
     LATE_CAME_BACK,
-    /** Served late; most of the time to the first part went into waiting for memory. */
+    /** Served late; most of the time to the first part was spent waiting for memory. */
     LATE_FOR_ROOM,
-    /** Served late; most of the time to the first part went into the prefill and its queue. */
+    /** Served late; most of the time to the first part was spent on the prefill and its queue. */
     LATE_FOR_PREFILL,
-    /** Served late; most of the time to the first part went into the upstream's response. */
+    /**
+     * Served late; most of the time to the first part was spent waiting for the upstream's
+     * response.
+     */
     LATE_AT_UPSTREAM,
-    /** Served, its first part in time, but with a pause that does harm. */
+    /** Served with the first part in time, but with a harmful gap between later parts. */
     LATE_BY_PAUSE,
-    /** Refused: no engine had memory for it within its wait. */
+    /** Refused: no engine had enough memory within the time that the request may wait. */
     REFUSED_NO_ROOM,
-    /** Refused at once: it is larger than the memory of an engine. */
+    /** Refused at once: the request is larger than the memory of an engine. */
     REFUSED_TOO_LARGE,
-    /** Refused: engines had memory, but no prefill engine was free in time. */
+    /** Refused: engines had memory, but no prefill engine became free in time. */
     REFUSED_NO_PREFILL,
-    /** Refused: no upstream of the service took work. */
+    /** Refused: no upstream of the service was accepting requests. */
     REFUSED_NO_UPSTREAM,
-    /** Refused: each upstream that was asked refused it. */
+    /** Refused: every upstream that was tried refused the request. */
     REFUSED_BY_UPSTREAMS,
-    /** Refused: each upstream that could take it has got what it says it takes. */
+    /** Refused: every eligible upstream has reached the request rate that it announced. */
     REFUSED_UPSTREAM_LIMIT,
-    /** Refused: its client account has used up its limit. */
+    /** Refused: the client account has used up its limit. */
     REFUSED_OVER_LIMIT,
-    /** Refused: no instance that counts its account's limit could be asked. */
+    /** Refused: no instance that counts the usage of the client account was reachable. */
     REFUSED_LIMIT_UNKNOWN,
-    /** Refused: its route asks for a key, and it shows none. */
+    /** Refused: the route requires a key and the request has none. */
     REFUSED_NO_KEY,
-    /** Refused: no account of the table in force has the key that it shows. */
+    /** Refused: the key belongs to no account of the route table in force. */
     REFUSED_UNKNOWN_KEY,
-    /** Refused for good: upstreams have crashed each time they ran it. */
+    /**
+     * Refused until an operator lifts the quarantine: upstreams crashed each time they ran the
+     * request.
+     */
     REFUSED_QUARANTINED,
-    /** Its time was over. */
+    /** The time limit of the request expired. */
     TIMED_OUT,
-    /** Failed, and may have run. */
+    /** Failed, and an upstream may have executed the request. */
     FAILED,
-    /** The caller got an upstream's own error response. */
+    /** The caller received an upstream's own error response. */
     UPSTREAM_ERROR,
-    /** A stream that had begun ended without its rest. */
+    /** A stream ended before it was complete. */
     CUT,
-    /** Its caller left before. */
+    /** The caller disconnected before the response was complete. */
     CALLER_LEFT;
 
     /**
-     * Tells whether the caller got a whole response that was not an error.
+     * Returns whether the caller received a complete response that was not an error.
      *
-     * @return true if it was served, late too
+     * @return true if the request was served, in time or late
      */
     public boolean isServed() {
         return this == IN_TIME || isLate();
     }
 
     /**
-     * Tells whether it was served late.
+     * Returns whether the request was served late.
      *
-     * @return true if it was
+     * @return true for each of the LATE outcomes
      */
     public boolean isLate() {
         return name().startsWith("LATE");
     }
 
     /**
-     * Tells whether it was refused without having run.
+     * Returns whether the request was refused without having been executed.
      *
-     * @return true if it was
+     * @return true for each of the REFUSED outcomes
      */
     public boolean isRefused() {
         return name().startsWith("REFUSED");
--- a/org.orchidmount/src/main/java/org/orchidmount/report/RequestReport.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/report/RequestReport.java
@@ -9,22 +9,26 @@
 import java.util.Map;
 
 /**
- * What became of one request at one instance. Immutable.
+ * The outcome of one request at one instance. Times are in milliseconds. Immutable.
  *
- * @param id the caller's identity of the request
- * @param end how it ended
- * @param service the service chosen for it
- * @param isClientRetry whether its caller seems to have been refused before
- * @param attempts attempts at upstreams
- * @param promptTokens the tokens of its prompt; 0 for plain requests
- * @param prefilledTokens tokens that engines have prefilled for it
- * @param roomMillis milliseconds of waiting for a place, with memory where that is needed
- * @param prefillMillis milliseconds of waiting for prefill engines
- * @param firstMillis milliseconds to the first part of the response; -1 if there was none
- * @param pauseMillis the longest pause between two parts of a stream, in milliseconds
- * @param totalMillis milliseconds to its end
- * @param upstream the upstream of its last attempt; "-" if there was none
- * @param account the client account that it counts for; "-" if there is none
+ * @param id request id given by the caller
+ * @param end outcome
+ * @param service service selected for the request
+ * @param isClientRetry whether the request appears to be a retry by a caller that was refused
+ *     before
+ * @param attempts number of attempts on upstreams
+ * @param promptTokens number of tokens in the prompt; 0 for requests to services without model
+ *     engines
+ * @param prefilledTokens number of tokens that engines prefilled for the request, repeated prefills
+ *     included
+ * @param roomMillis time spent waiting for an upstream with a free slot and, where needed, with
+ *     enough memory
+ * @param prefillMillis time spent waiting for prefill engines
+ * @param firstMillis time to the first part of the response; -1 if there was none
+ * @param pauseMillis longest gap between two parts of a stream
+ * @param totalMillis time to the end of the request
+ * @param upstream upstream of the last attempt; "-" if there was none
+ * @param account client account that the request counts for; "-" if there is none
  */
 public record RequestReport(
         String id,
@@ -41,33 +45,33 @@
         long totalMillis,
         String upstream,
         String account) {
-    /** The prefix of a report's line in the log. */
+    /** The log part of report lines, which prefixes each of them. */
     public static final String PART = "request";
 
-    /** The time to the first part of a response that never came. */
+    /** Value of {@code firstMillis} if there was no response. */
     public static final long NO_RESPONSE_MILLIS = -1;
 
-    /** Stands for an upstream where there was none. */
+    /** Value of {@code upstream} if there was no attempt. */
     public static final String NO_UPSTREAM = "-";
 
-    /** Stands for a client account where there was none. */
+    /** Value of {@code account} if the request counts for no client account. */
     public static final String NO_ACCOUNT = "-";
 
     private static final String PREFIX = PART + ": ";
 
-    /** Places of the words of a line: the identity and the end, then fields by name. */
+    /** Positions in a line: the request id, the outcome, then key=value fields. */
     private static final int ID = 0;
 
     private static final int END = 1;
     private static final int FIRST_FIELD = 2;
 
     /**
-     * Makes the report of a request that was refused before an upstream was looked for.
+     * Creates the report of a request that was refused before an upstream was selected.
      *
-     * @param id the caller's identity of the request
-     * @param end why
-     * @param service the service of its route
-     * @param account its client account, or {@link #NO_ACCOUNT}
+     * @param id request id given by the caller
+     * @param end reason for the refusal
+     * @param service service of the route
+     * @param account client account, or {@link #NO_ACCOUNT}
      * @return the report
      */
     public static RequestReport refusedAtOnce(
@@ -90,17 +94,17 @@
     }
 
     /**
-     * Returns the tokens that were prefilled for nothing: all if the request was not served, else
-     * those prefilled more than once.
+     * Returns the number of tokens that were prefilled in vain: all of them if the request was not
+     * served, otherwise those prefilled more than once.
      *
-     * @return tokens
+     * @return a number of tokens, at least 0
      */
     public int wastedTokens() {
         return Math.max(0, prefilledTokens - (end.isServed() ? promptTokens : 0));
     }
 
     /**
-     * Writes the report as a line, without the prefix.
+     * Formats the report as a log line without the prefix.
      *
      * @return the line
      */
@@ -124,21 +128,22 @@
     }
 
     /**
-     * Tells whether a message of the log is a report.
+     * Returns whether a log message is a report line.
      *
-     * @param message the message, with its prefix
-     * @return true if {@link #parse} may be asked to read it
+     * @param message log message with its prefix
+     * @return true if the message can be passed to {@link #parse}
      */
     public static boolean isReport(String message) {
         return message.startsWith(PREFIX);
     }
 
     /**
-     * Reads a report.
+     * Parses a report line.
      *
-     * @param message the message, with its prefix
+     * @param message log message with its prefix
      * @return the report
-     * @throws IllegalArgumentException if it is not whole; says what is wrong
+     * @throws IllegalArgumentException if the line is incomplete or malformed; the message names
+     *     the problem
      */
     public static RequestReport parse(String message) {
         String[] words = message.substring(PREFIX.length()).split(" ");
@@ -163,7 +168,7 @@
                 fields.textOr("account", NO_ACCOUNT));
     }
 
-    /** The fields of a line by their names. */
+    /** The key=value fields of a line. */
     private record Fields(Map<String, String> values) {
         static Fields parse(String[] words) {
             Map<String, String> values = new HashMap<>();
@@ -185,7 +190,7 @@
             return value;
         }
 
-        /** Returns a field that instances of an earlier version leave out. */
+        /** Returns a field that instances of earlier versions do not write. */
         String textOr(String name, String otherwise) {
             return values.getOrDefault(name, otherwise);
         }
--- a/org.orchidmount/src/main/java/org/orchidmount/report/package-info.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/report/package-info.java
@@ -4,9 +4,9 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 /**
- * What became of each request, as the log tells it.
+ * The request log: one line per finished request.
  *
- * <p>Owns the one line that a request leaves at its end ({@code RequestReport}), in both
- * directions: {@code relay} writes it, the tool's {@code explain} reads it. Relies on nothing else.
+ * <p>Defines how this line ({@code RequestReport}) is written and parsed: {@code relay} writes it,
+ * the {@code explain} command of the command-line tool parses it. Depends on no other package.
  */
 package org.orchidmount.report;
--- a/org.orchidmount/src/main/java/org/orchidmount/routes/AccessRule.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routes/AccessRule.java
@@ -8,38 +8,38 @@
 import java.util.Optional;
 
 /**
- * Whether a request may be served, by the key that it shows. Pure.
+ * Decides by the key of a request whether it may be served. Stateless.
  *
- * <p>A table with accounts asks every request for a key, but on public routes. There a key that is
- * known still tells whose request it is, and one that is not known does no harm.
+ * <p>If the route table has accounts, every request must carry a key, except on public routes.
+ * There, a known key still identifies the account of the request, and an unknown key is ignored.
  */
 public final class AccessRule {
     private AccessRule() {}
 
-    /** Whether a request may be served, and for whom. */
+    /** The result of an access check. */
     public sealed interface Access {
         /**
-         * It may.
+         * The request may be served.
          *
-         * @param account the account of its key; nothing if it shows none that is known
-         * @param isByAccounts whether the table has accounts, so that keys mean something
+         * @param account account of the key; empty if the request has no known key
+         * @param isByAccounts whether the table has accounts, so that keys are evaluated
          */
         record Allowed(Optional<ClientAccount> account, boolean isByAccounts) implements Access {}
 
-        /** It shows no key and its route asks for one. */
+        /** The request has no key, but its route requires one. */
         record NoKey() implements Access {}
 
-        /** No account has the key that it shows. */
+        /** The key of the request belongs to no account. */
         record UnknownKey() implements Access {}
     }
 
     /**
-     * Judges a request.
+     * Checks whether a request may be served.
      *
-     * @param accounts the accounts of the table in force
-     * @param isPublic whether its route is served without a key
-     * @param key the key that it shows, if any
-     * @return whether it may be served
+     * @param accounts accounts of the route table in force
+     * @param isPublic whether the route of the request is served without a key
+     * @param key key of the request; empty if it has none
+     * @return the result of the check
      */
     public static Access judge(ClientAccounts accounts, boolean isPublic, Optional<String> key) {
         if (accounts.isEmpty()) {
--- a/org.orchidmount/src/main/java/org/orchidmount/routes/CallerLimits.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routes/CallerLimits.java
@@ -8,9 +8,9 @@
 import java.time.Duration;
 
 /**
- * What callers may send.
+ * Limits on the request bodies that callers send.
  *
- * @param maxBodyBytes the largest body
- * @param idleTimeout how long a body may pause
+ * @param maxBodyBytes maximum size of a body
+ * @param idleTimeout maximum time without new data while a body is received
  */
 public record CallerLimits(long maxBodyBytes, Duration idleTimeout) {}
--- a/org.orchidmount/src/main/java/org/orchidmount/routes/ClientAccount.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routes/ClientAccount.java
@@ -9,27 +9,27 @@
 import java.util.OptionalLong;
 
 /**
- * A client account of a route table. Its keys stand in {@link ClientAccounts}. Immutable.
+ * A client account of a route table. Its keys are stored in {@link ClientAccounts}. Immutable.
  *
- * @param name the name, by which upstreams know it too
- * @param limit what it may use over all instances; nothing if it has no limit
+ * @param name name of the account, which is also sent to upstreams
+ * @param limit usage limit over all instances together; empty if unlimited
  */
 public record ClientAccount(String name, Optional<Limit> limit) {
     /**
-     * What an account may use.
+     * The usage limit of an account.
      *
-     * @param unit what is counted
-     * @param ratePerSecond units a second, above 0
-     * @param burst units at once beyond the rate, above 0
-     * @param plainTokens the tokens that a request counts for that states none; of use if tokens
-     *     are counted
+     * @param unit what the limit counts
+     * @param ratePerSecond units per second, above 0
+     * @param burst units that may be used at once beyond the rate, above 0
+     * @param plainTokens tokens charged for a request that does not state its tokens; relevant only
+     *     if tokens are counted
      */
     public record Limit(Unit unit, double ratePerSecond, double burst, long plainTokens) {
         /**
-         * Returns how much a request uses.
+         * Returns the number of units that a request is charged.
          *
-         * @param statedTokens the tokens that the request states
-         * @return units
+         * @param statedTokens tokens that the request states; empty if it states none
+         * @return units, at least 0
          */
         public long units(OptionalLong statedTokens) {
             return unit == Unit.REQUESTS ? 1 : statedTokens.orElse(plainTokens);
@@ -38,9 +38,9 @@
 
     /** What a limit counts. */
     public enum Unit {
-        /** Each request is one unit. */
+        /** Each request counts as one unit. */
         REQUESTS,
-        /** Each token of the prompt and of the longest output is one unit. */
+        /** Each token of the prompt and of the maximum output counts as one unit. */
         TOKENS
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/routes/ClientAccounts.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routes/ClientAccounts.java
@@ -13,12 +13,13 @@
 import org.orchidmount.internal.keys.KeyHash;
 
 /**
- * The client accounts of a table, by the hashes of their keys. Immutable and thread-safe.
+ * The client accounts of a route table, indexed by the hashes of their keys. Immutable and
+ * thread-safe.
  *
- * <p>Invariants: a key belongs to one account; no key is kept.
+ * <p>Invariants: a key belongs to at most one account; keys are stored only as hashes.
  */
 public final class ClientAccounts {
-    /** A table without accounts: requests need no key. */
+    /** No accounts, so that requests need no key. */
     public static final ClientAccounts NONE = new Builder().build();
 
     private final Map<String, ClientAccount> mByKeyHash;
@@ -30,37 +31,37 @@
     }
 
     /**
-     * Tells whether there are no accounts, so that requests need no key.
+     * Returns whether there are no accounts, in which case requests need no key.
      *
-     * @return true if there are none
+     * @return true if there are no accounts
      */
     public boolean isEmpty() {
         return mIsEmpty;
     }
 
     /**
-     * Finds the account of a key.
+     * Returns the account that a key belongs to.
      *
-     * @param key the key as the caller sent it
-     * @return the account, or nothing if no account has the key
+     * @param key key as sent by the caller
+     * @return the account; empty if the key belongs to none
      */
     public Optional<ClientAccount> find(String key) {
         return Optional.ofNullable(mByKeyHash.get(KeyHash.of(key)));
     }
 
-    /** Collects the accounts of a table. Used by one thread. */
+    /** Builds the accounts of a route table. Not thread-safe. */
     public static final class Builder {
         private final Map<String, ClientAccount> mByKeyHash = new HashMap<>();
         private final Set<String> mNames = new HashSet<>();
 
         /**
-         * Adds an account. It may have no key, and then nobody can use it.
+         * Adds an account. An account without keys is valid, but no request can use it.
          *
-         * @param account the account
-         * @param keys its keys
+         * @param account account to add
+         * @param keys keys of the account, in plain text
          * @return this
-         * @throws IllegalArgumentException if another account has its name or one of its keys; the
-         *     message names the accounts and no key
+         * @throws IllegalArgumentException if another account has the same name or one of the keys;
+         *     the message names the accounts, but never a key
          */
         public Builder add(ClientAccount account, Iterable<String> keys) {
             if (!mNames.add(account.name())) {
@@ -78,7 +79,7 @@
         }
 
         /**
-         * Ends the collection.
+         * Creates the immutable set of accounts.
          *
          * @return the accounts
          */
--- a/org.orchidmount/src/main/java/org/orchidmount/routes/RequestKind.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routes/RequestKind.java
@@ -5,12 +5,12 @@
  */
 package org.orchidmount.routes;
 
-/** What may be repeated of a route's requests. */
+/** Whether the requests of a route may be repeated, and the form of their responses. */
 public enum RequestKind {
-    /** A request may run more than once. */
+    /** A request may be executed more than once. */
     SAFE,
-    /** A request runs at most once. */
+    /** A request must be executed at most once. */
     UNSAFE,
-    /** The answer is a stream of events. */
+    /** The response is a stream of events. */
     STREAM
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/routes/Route.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routes/Route.java
@@ -10,20 +10,20 @@
 import org.orchidmount.routing.AttemptRule;
 
 /**
- * A rule for the requests of one host below one path. Immutable.
+ * A routing rule for the requests to one host below one path prefix. Immutable.
  *
- * @param name the name, for logs
- * @param host the host, in lower case
- * @param pathPrefix what the path must begin with
- * @param kind what may be repeated
- * @param resumable whether a stream may be taken up at another upstream
- * @param isPublic whether requests need no key of a client account
- * @param timeout the longest time that a request is held
- * @param target the time within which an answer is of full use
- * @param longestPause the longest pause between events that does no harm
- * @param priority the rank, 0 being the most urgent
- * @param maxAttempts the most upstreams that one request is handed to
- * @param destinations the services that take the requests, by weight
+ * @param name name used in logs
+ * @param host host name in lower case
+ * @param pathPrefix prefix that a request path must start with
+ * @param kind whether a request may be executed more than once
+ * @param resumable whether an interrupted stream may be resumed on another upstream
+ * @param isPublic whether requests are served without the key of a client account
+ * @param timeout maximum time that a request is kept open
+ * @param target target latency of a response
+ * @param longestPause longest gap between the events of a stream that counts as harmless
+ * @param priority priority, 0 being the most urgent
+ * @param maxAttempts maximum number of upstreams that one request is sent to
+ * @param destinations services that receive the requests, with their weights
  */
 public record Route(
         String name,
@@ -38,42 +38,42 @@
         int priority,
         int maxAttempts,
         List<Destination> destinations) {
-    /** Copies the list of destinations. */
+    /** Creates a route with its own copy of the list of destinations. */
     public Route {
         destinations = List.copyOf(destinations);
     }
 
     /**
-     * A share of a route's requests.
+     * A service that receives a weighted share of a route's requests.
      *
-     * @param service the service
-     * @param weight its weight, 0 for no new requests
+     * @param service name of the service
+     * @param weight relative weight; 0 for a service that gets no new requests
      */
     public record Destination(String service, int weight) {}
 
     /**
-     * Tells whether a request may be run more than once.
+     * Returns whether a request may be executed more than once.
      *
-     * @return true if a repetition does no harm
+     * @return true if repeating a request is harmless
      */
     public boolean isIdempotent() {
         return kind == RequestKind.SAFE || kind == RequestKind.STREAM && resumable;
     }
 
     /**
-     * Returns what the route allows when an attempt fails.
+     * Returns the limits on further attempts after a failed one.
      *
-     * @return the limits
+     * @return the attempt limits
      */
     public AttemptRule.Limits attemptLimits() {
         return new AttemptRule.Limits(isIdempotent(), maxAttempts);
     }
 
     /**
-     * Chooses a service.
+     * Selects a destination by weight.
      *
-     * @param point a number from 0 to below 1, drawn evenly
-     * @return the service
+     * @param point uniformly distributed random number from 0 (inclusive) to 1 (exclusive)
+     * @return the name of the selected service
      */
     public String service(double point) {
         int sum = destinations.stream().mapToInt(Destination::weight).sum();
--- a/org.orchidmount/src/main/java/org/orchidmount/routes/RouteTable.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routes/RouteTable.java
@@ -14,9 +14,10 @@
 import java.util.Optional;
 
 /**
- * All routes and services of one version. Immutable and thread-safe.
+ * All routes and services of one configuration version. Immutable and thread-safe.
  *
- * <p>Invariant: no two routes share host and path; every destination names a service of the table.
+ * <p>Invariant: no two routes have the same host and path prefix; every destination names a service
+ * of the table.
  */
 public final class RouteTable {
     private final long mVersion;
@@ -28,12 +29,13 @@
     /**
      * Creates a table.
      *
-     * @param version its version
+     * @param version version of the table
      * @param routes the routes
      * @param services the services by name
-     * @param limits the limits for callers
+     * @param limits limits on callers' request bodies
      * @param accounts the client accounts
-     * @throws IllegalArgumentException if the invariant is broken; the message says where
+     * @throws IllegalArgumentException if the invariant is violated, or a route has no positive
+     *     timeout, a negative weight or no positive weight; the message names the route
      */
     public RouteTable(
             long version,
@@ -87,16 +89,16 @@
     }
 
     /**
-     * Returns the version.
+     * Returns the version of the table.
      *
-     * @return the version
+     * @return the version number
      */
     public long version() {
         return mVersion;
     }
 
     /**
-     * Returns the limits for callers.
+     * Returns the limits on callers' request bodies.
      *
      * @return the limits
      */
@@ -114,21 +116,22 @@
     }
 
     /**
-     * Finds a service.
+     * Returns a service.
      *
-     * @param name its name
-     * @return the service, or nothing if it is unknown
+     * @param name name of the service
+     * @return the service; empty if the table has none of that name
      */
     public Optional<Service> service(String name) {
         return Optional.ofNullable(mServices.get(name));
     }
 
     /**
-     * Finds the route of a request: of those of its host, the one with the longest prefix.
+     * Returns the route of a request: among the routes of its host, the one with the longest
+     * matching path prefix.
      *
-     * @param host the host without port
-     * @param path the path as it was sent
-     * @return the route, or nothing
+     * @param host host without port, in any case
+     * @param path path as sent by the caller
+     * @return the route; empty if none matches
      */
     public Optional<Route> find(String host, String path) {
         List<Route> routes = mRoutesByHost.get(host.toLowerCase(Locale.ROOT));
--- a/org.orchidmount/src/main/java/org/orchidmount/routes/RouteTableParser.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routes/RouteTableParser.java
@@ -5,15 +5,19 @@
  */
 package org.orchidmount.routes;
 
-/** Reads the form in which an operator sends a route table. Implementations are thread-safe. */
+/**
+ * Parses route tables from the format in which operators submit them. Implementations are
+ * thread-safe.
+ */
 @FunctionalInterface
 public interface RouteTableParser {
     /**
-     * Reads and checks a table.
+     * Parses and validates a table.
      *
-     * @param document the table as it was sent
+     * @param document table as submitted
      * @return the table
-     * @throws IllegalArgumentException if it is invalid; the message names place and remedy
+     * @throws IllegalArgumentException if the document is invalid; the message names the place of
+     *     the error and the remedy
      */
     RouteTable parse(byte[] document);
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/routes/Service.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routes/Service.java
@@ -9,12 +9,12 @@
 import java.util.OptionalInt;
 
 /**
- * A group of like upstreams. Immutable.
+ * A group of interchangeable upstreams. Immutable.
  *
- * @param name the name
- * @param engine set for services of model engines
- * @param maxConnections how many connections one upstream accepts from all callers together, at
- *     least 1; nothing if that is not known
+ * @param name name of the service
+ * @param engine properties of the engines; empty if the upstreams are no model engines
+ * @param maxConnections maximum number of connections that one upstream accepts from all callers
+ *     together, at least 1; empty if unknown
  */
 public record Service(String name, Optional<Engine> engine, OptionalInt maxConnections) {
     /** Creates a service whose upstreams accept any number of connections. */
@@ -23,10 +23,10 @@
     }
 
     /**
-     * What the engines of a service have in common.
+     * Properties that all engines of a service share.
      *
-     * @param memoryTokens the tokens that fit into memory
-     * @param eventTokens the tokens that one event of a stream holds
+     * @param memoryTokens number of tokens that fit into the KV cache of one engine
+     * @param eventTokens number of tokens in one event of a stream
      */
     public record Engine(long memoryTokens, int eventTokens) {}
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/routes/package-info.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routes/package-info.java
@@ -3,5 +3,7 @@
  *
  * SPDX-License-Identifier: Apache-2.0
  */
-/** The route table: which service takes a request, and under which limits. */
+/**
+ * The route table, which determines the service that handles a request and the limits that apply.
+ */
 package org.orchidmount.routes;
