--- a/org.orchidmount.test/src/test/java/org/orchidmount/report/RequestReportTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/report/RequestReportTest.java
@@ -36,9 +36,9 @@
 
     @ParameterizedTest
     @CsvSource({
-        "request: id-1, without an end",
+        "request: id-1, has no outcome",
         "request: id-1 SOMEHOW service=s, SOMEHOW",
-        "request: id-1 CUT service, without a value",
+        "request: id-1 CUT service, has no value",
         "request: id-1 CUT service=s retry=true attempts=two, attempts=two",
         "request: id-1 CUT service=s retry=true, attempts is missing"
     })
--- a/org.orchidmount/src/main/java/org/orchidmount/report/RequestReport.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/report/RequestReport.java
@@ -148,7 +148,7 @@
     public static RequestReport parse(String message) {
         String[] words = message.substring(PREFIX.length()).split(" ");
         if (words.length < FIRST_FIELD) {
-            throw new IllegalArgumentException("a report without an end");
+            throw new IllegalArgumentException("the line has no outcome");
         }
         Fields fields = Fields.parse(words);
         return new RequestReport(
@@ -175,7 +175,7 @@
             for (int i = FIRST_FIELD; i < words.length; i++) {
                 int equals = words[i].indexOf('=');
                 if (equals < 0) {
-                    throw new IllegalArgumentException("a field without a value: " + words[i]);
+                    throw new IllegalArgumentException("a field has no value: " + words[i]);
                 }
                 values.put(words[i].substring(0, equals), words[i].substring(equals + 1));
             }
@@ -200,7 +200,7 @@
             try {
                 return Long.parseLong(value);
             } catch (NumberFormatException e) {
-                throw new IllegalArgumentException("no number in " + name + "=" + value, e);
+                throw new IllegalArgumentException("not a number: " + name + "=" + value, e);
             }
         }
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/routes/ClientAccounts.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routes/ClientAccounts.java
@@ -66,7 +66,7 @@
         public Builder add(ClientAccount account, Iterable<String> keys) {
             if (!mNames.add(account.name())) {
                 throw new IllegalArgumentException(
-                        "account " + account.name() + " stands in the table twice");
+                        "account " + account.name() + " is defined twice");
             }
             for (String key : keys) {
                 ClientAccount other = mByKeyHash.put(KeyHash.of(key), account);
--- a/org.orchidmount/src/main/java/org/orchidmount/routes/RouteTable.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routes/RouteTable.java
@@ -65,26 +65,28 @@
                                 + route.name()
                                 + ": service "
                                 + destination.service()
-                                + " is unknown");
+                                + " is not defined; add it to the services");
             }
             if (destination.weight() < 0) {
                 throw new IllegalArgumentException(
-                        "route " + route.name() + ": a weight is below 0");
+                        "route " + route.name() + ": a weight is negative");
             }
             weights += destination.weight();
         }
         if (weights <= 0) {
-            throw new IllegalArgumentException("route " + route.name() + ": its weights sum to 0");
+            throw new IllegalArgumentException(
+                    "route " + route.name() + ": no destination has a weight above 0");
         }
         if (!route.timeout().isPositive()) {
-            throw new IllegalArgumentException("route " + route.name() + ": its time-out is 0");
+            throw new IllegalArgumentException(
+                    "route " + route.name() + ": the timeout must be above 0");
         }
         boolean taken =
                 mRoutesByHost.getOrDefault(route.host(), List.of()).stream()
                         .anyMatch(other -> other.pathPrefix().equals(route.pathPrefix()));
         if (taken) {
             throw new IllegalArgumentException(
-                    "route " + route.name() + ": another has the same host and path");
+                    "route " + route.name() + ": another route has the same host and path prefix");
         }
     }
 
