--- a/org.orchidmount.test/src/test/java/org/orchidmount/routes/AccessRuleTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/routes/AccessRuleTest.java
@@ -35,17 +35,17 @@
         "true, , -"
     })
     void aRequestIsServedForTheAccountOfItsKey(boolean isPublic, String key, String account) {
-        Access access = AccessRule.judge(ACCOUNTS, isPublic, Optional.ofNullable(key));
+        Access access = AccessRule.check(ACCOUNTS, isPublic, Optional.ofNullable(key));
         Access.Allowed allowed = (Access.Allowed) access;
         assertThat(allowed.account().map(ClientAccount::name).orElse("-")).isEqualTo(account);
-        assertThat(allowed.isByAccounts()).isTrue();
+        assertThat(allowed.hasAccounts()).isTrue();
     }
 
     @Test
     void aRouteThatIsNotPublicAsksForAKeyThatIsKnown() {
-        assertThat(AccessRule.judge(ACCOUNTS, false, Optional.empty()))
+        assertThat(AccessRule.check(ACCOUNTS, false, Optional.empty()))
                 .isInstanceOf(Access.NoKey.class);
-        assertThat(AccessRule.judge(ACCOUNTS, false, Optional.of("key-4")))
+        assertThat(AccessRule.check(ACCOUNTS, false, Optional.of("key-4")))
                 .isInstanceOf(Access.UnknownKey.class);
     }
 
@@ -54,13 +54,13 @@
     void accountsWithoutKeysAreStillAccounts() {
         ClientAccounts withdrawn =
                 new ClientAccounts.Builder().add(MILL, List.<String>of()).build();
-        assertThat(AccessRule.judge(withdrawn, false, Optional.of("key-1")))
+        assertThat(AccessRule.check(withdrawn, false, Optional.of("key-1")))
                 .isInstanceOf(Access.UnknownKey.class);
     }
 
     @Test
     void withoutAccountsNoKeyIsAskedFor() {
-        Access access = AccessRule.judge(ClientAccounts.NONE, false, Optional.of("key-1"));
+        Access access = AccessRule.check(ClientAccounts.NONE, false, Optional.of("key-1"));
         assertThat(access).isEqualTo(new Access.Allowed(Optional.empty(), false));
     }
 
--- a/org.orchidmount.test/src/test/java/org/orchidmount/routes/RouteTableTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/routes/RouteTableTest.java
@@ -57,10 +57,10 @@
                                 new Route.Destination("s", 90),
                                 new Route.Destination("t", 0),
                                 new Route.Destination("u", 10)));
-        assertThat(route.service(0)).isEqualTo("s");
-        assertThat(route.service(0.899)).isEqualTo("s");
-        assertThat(route.service(0.901)).isEqualTo("u");
-        assertThat(route.service(0.999_999)).isEqualTo("u");
+        assertThat(route.selectService(0)).isEqualTo("s");
+        assertThat(route.selectService(0.899)).isEqualTo("s");
+        assertThat(route.selectService(0.901)).isEqualTo("u");
+        assertThat(route.selectService(0.999_999)).isEqualTo("u");
     }
 
     private static RouteTable table(Route... routes) {
--- a/org.orchidmount/src/main/java/org/orchidmount/report/RequestReport.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/report/RequestReport.java
@@ -60,10 +60,10 @@
     private static final String PREFIX = PART + ": ";
 
     /** Positions in a line: the request id, the outcome, then key=value fields. */
-    private static final int ID = 0;
+    private static final int ID_INDEX = 0;
 
-    private static final int END = 1;
-    private static final int FIRST_FIELD = 2;
+    private static final int OUTCOME_INDEX = 1;
+    private static final int FIRST_FIELD_INDEX = 2;
 
     /**
      * Creates the report of a request that was refused before an upstream was selected.
@@ -74,7 +74,7 @@
      * @param account client account, or {@link #NO_ACCOUNT}
      * @return the report
      */
-    public static RequestReport refusedAtOnce(
+    public static RequestReport refusedWithoutAttempt(
             String id, RequestEnd end, String service, String account) {
         return new RequestReport(
                 id,
@@ -147,13 +147,13 @@
      */
     public static RequestReport parse(String message) {
         String[] words = message.substring(PREFIX.length()).split(" ");
-        if (words.length < FIRST_FIELD) {
+        if (words.length < FIRST_FIELD_INDEX) {
             throw new IllegalArgumentException("the line has no outcome");
         }
         Fields fields = Fields.parse(words);
         return new RequestReport(
-                words[ID],
-                RequestEnd.valueOf(words[END]),
+                words[ID_INDEX],
+                RequestEnd.valueOf(words[OUTCOME_INDEX]),
                 fields.text("service"),
                 Boolean.parseBoolean(fields.text("retry")),
                 (int) fields.number("attempts"),
@@ -165,14 +165,14 @@
                 fields.number("pauseMillis"),
                 fields.number("totalMillis"),
                 fields.text("upstream"),
-                fields.textOr("account", NO_ACCOUNT));
+                fields.textOrDefault("account", NO_ACCOUNT));
     }
 
     /** The key=value fields of a line. */
     private record Fields(Map<String, String> values) {
         static Fields parse(String[] words) {
             Map<String, String> values = new HashMap<>();
-            for (int i = FIRST_FIELD; i < words.length; i++) {
+            for (int i = FIRST_FIELD_INDEX; i < words.length; i++) {
                 int equals = words[i].indexOf('=');
                 if (equals < 0) {
                     throw new IllegalArgumentException("a field has no value: " + words[i]);
@@ -191,8 +191,8 @@
         }
 
         /** Returns a field that instances of earlier versions do not write. */
-        String textOr(String name, String otherwise) {
-            return values.getOrDefault(name, otherwise);
+        String textOrDefault(String name, String defaultValue) {
+            return values.getOrDefault(name, defaultValue);
         }
 
         long number(String name) {
--- a/org.orchidmount/src/main/java/org/orchidmount/routes/AccessRule.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routes/AccessRule.java
@@ -22,9 +22,9 @@
          * The request may be served.
          *
          * @param account account of the key; empty if the request has no known key
-         * @param isByAccounts whether the table has accounts, so that keys are evaluated
+         * @param hasAccounts whether the table has accounts, so that keys are evaluated
          */
-        record Allowed(Optional<ClientAccount> account, boolean isByAccounts) implements Access {}
+        record Allowed(Optional<ClientAccount> account, boolean hasAccounts) implements Access {}
 
         /** The request has no key, but its route requires one. */
         record NoKey() implements Access {}
@@ -41,7 +41,7 @@
      * @param key key of the request; empty if it has none
      * @return the result of the check
      */
-    public static Access judge(ClientAccounts accounts, boolean isPublic, Optional<String> key) {
+    public static Access check(ClientAccounts accounts, boolean isPublic, Optional<String> key) {
         if (accounts.isEmpty()) {
             return new Access.Allowed(Optional.empty(), false);
         }
--- a/org.orchidmount/src/main/java/org/orchidmount/routes/ClientAccount.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routes/ClientAccount.java
@@ -21,10 +21,10 @@
      * @param unit what the limit counts
      * @param ratePerSecond units per second, above 0
      * @param burst units that may be used at once beyond the rate, above 0
-     * @param plainTokens tokens charged for a request that does not state its tokens; relevant only
-     *     if tokens are counted
+     * @param defaultTokens tokens charged for a request that does not state its tokens; relevant
+     *     only if tokens are counted
      */
-    public record Limit(Unit unit, double ratePerSecond, double burst, long plainTokens) {
+    public record Limit(Unit unit, double ratePerSecond, double burst, long defaultTokens) {
         /**
          * Returns the number of units that a request is charged.
          *
@@ -32,7 +32,7 @@
          * @return units, at least 0
          */
         public long units(OptionalLong statedTokens) {
-            return unit == Unit.REQUESTS ? 1 : statedTokens.orElse(plainTokens);
+            return unit == Unit.REQUESTS ? 1 : statedTokens.orElse(defaultTokens);
         }
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/routes/Route.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routes/Route.java
@@ -75,12 +75,12 @@
      * @param point uniformly distributed random number from 0 (inclusive) to 1 (exclusive)
      * @return the name of the selected service
      */
-    public String service(double point) {
-        int sum = destinations.stream().mapToInt(Destination::weight).sum();
-        double left = point * sum;
+    public String selectService(double point) {
+        int totalWeight = destinations.stream().mapToInt(Destination::weight).sum();
+        double remainingWeight = point * totalWeight;
         for (Destination destination : destinations) {
-            left -= destination.weight();
-            if (left < 0) {
+            remainingWeight -= destination.weight();
+            if (remainingWeight < 0) {
                 return destination.service();
             }
         }
--- a/org.orchidmount/src/main/java/org/orchidmount/routes/RouteTable.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routes/RouteTable.java
@@ -57,7 +57,7 @@
     }
 
     private void check(Route route) {
-        int weights = 0;
+        int totalWeight = 0;
         for (Route.Destination destination : route.destinations()) {
             if (!mServices.containsKey(destination.service())) {
                 throw new IllegalArgumentException(
@@ -71,9 +71,9 @@
                 throw new IllegalArgumentException(
                         "route " + route.name() + ": a weight is negative");
             }
-            weights += destination.weight();
+            totalWeight += destination.weight();
         }
-        if (weights <= 0) {
+        if (totalWeight <= 0) {
             throw new IllegalArgumentException(
                     "route " + route.name() + ": no destination has a weight above 0");
         }
@@ -81,10 +81,10 @@
             throw new IllegalArgumentException(
                     "route " + route.name() + ": the timeout must be above 0");
         }
-        boolean taken =
+        boolean isDuplicate =
                 mRoutesByHost.getOrDefault(route.host(), List.of()).stream()
                         .anyMatch(other -> other.pathPrefix().equals(route.pathPrefix()));
-        if (taken) {
+        if (isDuplicate) {
             throw new IllegalArgumentException(
                     "route " + route.name() + ": another route has the same host and path prefix");
         }
