--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Assignment.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Assignment.java
@@ -11,8 +11,8 @@
 import org.orchidmount.upstream.CancelSignal;
 
 /**
- * Work that this instance has given to an upstream. Guarded by the lock of {@link
- * UpstreamDirectory}, except for what never changes.
+ * Work that this instance has assigned to an upstream. Mutable state is guarded by the lock of
+ * {@link UpstreamDirectory}.
  */
 final class Assignment {
     private final Upstream mUpstream;
@@ -30,7 +30,8 @@
         mSinceNanos = sinceNanos;
         mIncarnation = upstream.incarnation();
         HostPort address = HostPort.parse(upstream.registration().address());
-        // The start is part of the name, so that connections to another start are never used.
+        // The name of the peer includes the incarnation, so that connections to another incarnation
+        // are never used.
         mPeer = new Peer(mIncarnation.toString(), address.host(), address.port());
     }
 
@@ -38,12 +39,12 @@
         return mUpstream;
     }
 
-    /** Returns the identity of the upstream. */
+    /** Returns the id of the upstream, which stays the same when it restarts. */
     String id() {
         return mIncarnation.id();
     }
 
-    /** Returns which start of the upstream the work was given to. */
+    /** Returns the incarnation of the upstream that the work was assigned to. */
     Incarnation incarnation() {
         return mIncarnation;
     }
@@ -52,20 +53,23 @@
         return mPeer;
     }
 
-    /** Returns what is cancelled once the upstream has started again. */
+    /** Returns the signal that is cancelled when the upstream restarts. */
     CancelSignal end() {
         return mUpstream.end();
     }
 
     /**
-     * Tells whether the upstream has started again since. Then this work is lost: what it had
-     * reserved or made there is no longer, and its names may be those of others now.
+     * Returns whether the upstream has restarted since. The work is then lost: its reservations and
+     * KV caches no longer exist, and their ids may by now belong to other requests.
      */
     boolean hasStartedAgain() {
         return end().isCancelled();
     }
 
-    /** Returns after what time an upstream of ordinary speed would have done the work. */
+    /**
+     * Returns the time in which an upstream of ordinary speed would have finished the work,
+     * including its backlog.
+     */
     double ordinaryMillis() {
         return mOrdinaryMillis;
     }
@@ -74,7 +78,7 @@
         return mSinceNanos;
     }
 
-    /** Ends the work, once. */
+    /** Removes the work from the load of the upstream. Further calls have no effect. */
     void endWork() {
         if (mPending) {
             mPending = false;
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/AttemptRunner.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/AttemptRunner.java
@@ -27,20 +27,23 @@
 import org.orchidmount.upstream.CancelSignal;
 
 /**
- * Carries out the attempts of one request: calls an upstream, passes its response on, and reports
- * what the attempt proves. It decides nothing; {@link RequestRelay} does.
+ * Executes the attempts of one request: calls an upstream, forwards its response to the caller, and
+ * reports the outcome. {@link RequestRelay} decides whether to try again.
  *
- * <p>Invariants: only a whole response, or whole events in rising order, reach the caller; what the
- * caller has in part is continued only with what follows it; what was prepared at an upstream is
- * used at that start of it only. Used by one virtual thread.
+ * <p>Invariants: the caller receives only complete responses, or complete events with increasing
+ * ids; a stream that the caller has received in part is continued only with the events that follow;
+ * resources reserved at an upstream are used only at the incarnation that granted them. Confined to
+ * one virtual thread.
  */
 final class AttemptRunner {
     private static final PartLog LOG = PartLog.of("relay");
 
-    /** Bytes of a response that is not streamed; larger ones fail. */
+    /** Maximum size of a response that is not streamed; larger responses fail. */
     private static final int MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
-    /** The body of a response that is thrown away, to keep its connection. */
+    /**
+     * Time allowed to drain the body of an unused response, so that its connection can be reused.
+     */
     private static final Duration DISCARD_TIMEOUT = Duration.ofSeconds(2);
 
     private final RelayContext mContext;
@@ -58,17 +61,19 @@
     private long mFirstNanos;
     private boolean mHasResponse;
 
-    /** The last event that the caller had when the latest attempt began. */
+    /**
+     * Id of the last event that the caller had received when the latest attempt began; 0 for none.
+     */
     private long mFromPosition;
 
     private String mLastFailure = "no upstream takes work";
 
     /**
-     * A whole error response that is passed on unless another upstream does better.
+     * A complete error response that is forwarded to the caller if no later attempt succeeds.
      *
-     * @param status its status
-     * @param headers the fields that are passed on
-     * @param body its body
+     * @param status the HTTP status
+     * @param headers the header fields to forward
+     * @param body the complete body
      */
     record HeldResponse(int status, HeaderMap headers, byte[] body) {}
 
@@ -91,24 +96,29 @@
         mArrivedNanos = context.clock().nanoTime();
     }
 
-    /** Returns why the latest attempt did not serve the caller. */
+    /** Returns the reason why the latest attempt failed, for the log. */
     String lastFailure() {
         return mLastFailure;
     }
 
-    /** Tells whether the upstream of the latest attempt has begun to respond. */
+    /** Returns whether the upstream of the latest attempt has sent a response head. */
     boolean hasResponse() {
         return mHasResponse;
     }
 
-    /** Returns when the first part of a response came, since the request arrived, if any did. */
+    /**
+     * Returns the time from the arrival of the request to the first part of a response; empty if
+     * none has come.
+     */
     Optional<Duration> firstResponse() {
         return mFirstNanos == 0
                 ? Optional.empty()
                 : Optional.of(Duration.ofNanos(mFirstNanos - mArrivedNanos));
     }
 
-    /** Returns the longest pause of the latest stream; zero without one. */
+    /**
+     * Returns the longest gap between two parts of the latest stream; zero if there was no stream.
+     */
     Duration longestPause() {
         return mTiming.map(timing -> Duration.ofMillis(timing.longestPauseMillis()))
                 .orElse(Duration.ZERO);
@@ -120,24 +130,24 @@
         }
     }
 
-    /** Returns the error response to pass on if no attempt does better. */
+    /** Returns the error response to forward if no attempt succeeds. */
     Optional<HeldResponse> held() {
         return mHeld;
     }
 
-    /** Returns the stream that the caller has in part, if any. */
+    /** Returns the stream of which the caller has received a part, if any. */
     Optional<StreamForward> begunStream() {
         return mStream.filter(StreamForward::isStarted);
     }
 
     /**
-     * Makes one attempt.
+     * Makes one attempt at an upstream.
      *
-     * @param placement where
-     * @param cache where the prompt's KV cache is, if it was prefilled elsewhere
-     * @param history the attempts before
-     * @return what the attempt proves
-     * @throws IOException if the caller has gone
+     * @param placement the upstream and what is reserved there
+     * @param cache the location of the prompt's KV cache, if another engine prefilled it
+     * @param history the previous attempts
+     * @return the outcome
+     * @throws IOException if the caller has disconnected
      * @throws TimeoutException if the caller reads too slowly
      * @throws InterruptedException if the thread is interrupted
      */
@@ -216,7 +226,8 @@
                 yield AttemptOutcome.NOT_RUN;
             }
             case FOREIGN -> {
-                // It proves nothing of the request, but what it says of its upstream is true.
+                // The response is of no use for this request, but what it states about its upstream
+                // is valid.
                 if (mContext.protocol().isResponseTo(mRequest, response)) {
                     mContext.respondedToCall(assignment, response, sentNanos);
                 }
@@ -247,7 +258,7 @@
         return failure.mayHaveRun() ? AttemptOutcome.MAY_HAVE_RUN : AttemptOutcome.NOT_REACHED;
     }
 
-    /** Returns the last event that the caller has; 0 for none. */
+    /** Returns the id of the last event forwarded to the caller; 0 for none. */
     private long position() {
         return mStream.map(StreamForward::last).orElse(0L);
     }
@@ -297,7 +308,7 @@
         return AttemptOutcome.ENDED;
     }
 
-    /** Passes a stream on until its upstream ends it. */
+    /** Forwards a stream until its upstream ends it. */
     private StreamTiming forward(Placement placement, HttpCall call, StreamForward stream)
             throws CallFailedException, IOException, TimeoutException, InterruptedException {
         Assignment assignment = placement.assignment();
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/CallCancel.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/CallCancel.java
@@ -8,11 +8,11 @@
 import org.orchidmount.upstream.CancelSignal;
 
 /**
- * Ends one call to an upstream when its request is cancelled, or when the upstream starts again:
- * the answer of the start before cannot come any more, though behind a cut its connection stays
- * open.
+ * Cancels one call to an upstream when its request is cancelled or when the upstream restarts. The
+ * previous incarnation can no longer respond, but in a network partition its connection stays open.
  *
- * <p>Invariant: neither the request nor the upstream keeps it after {@link #close}. Thread-safe.
+ * <p>Invariant: neither the request nor the upstream refers to it after {@link #close}.
+ * Thread-safe.
  */
 final class CallCancel implements AutoCloseable {
     private final CancelSignal mSignal = new CancelSignal();
@@ -20,9 +20,9 @@
     private final CancelSignal.Registration mOfUpstream;
 
     /**
-     * Watches both.
+     * Registers with the signals of the request and of the upstream.
      *
-     * @param request the cancel of the request
+     * @param request the cancel signal of the request
      * @param assignment the work that the call is for
      */
     CallCancel(CancelSignal request, Assignment assignment) {
@@ -34,7 +34,7 @@
         return other.onCancel(() -> mSignal.cancel(other.reason()));
     }
 
-    /** Returns what the call is given. */
+    /** Returns the signal to pass to the call. */
     CancelSignal signal() {
         return mSignal;
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/CallerResponse.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/CallerResponse.java
@@ -11,15 +11,15 @@
 import java.util.concurrent.TimeoutException;
 import org.orchidmount.routing.FinalOutcome;
 
-/** The caller's side of a request. Used by one thread. */
+/** The response to the caller of a request. Confined to one thread. */
 public interface CallerResponse {
     /**
-     * Sends a whole response of an upstream.
+     * Sends a complete response of an upstream.
      *
-     * @param status its status
-     * @param headers its fields
-     * @param body its body
-     * @throws IOException if the caller has gone
+     * @param status the HTTP status
+     * @param headers the header fields
+     * @param body the complete body
+     * @throws IOException if the caller has disconnected
      * @throws TimeoutException if the caller reads too slowly
      * @throws InterruptedException if the thread is interrupted
      */
@@ -27,41 +27,42 @@
             throws IOException, TimeoutException, InterruptedException;
 
     /**
-     * Begins a response that follows in parts.
+     * Begins a streamed response.
      *
-     * @param status its status
-     * @param headers its fields
+     * @param status the HTTP status
+     * @param headers the header fields
      */
     void begin(int status, HeaderMap headers);
 
     /**
-     * Sends a part.
+     * Sends a part of a streamed response.
      *
-     * @param part the part
-     * @throws IOException if the caller has gone
+     * @param part the bytes to send
+     * @throws IOException if the caller has disconnected
      * @throws TimeoutException if the caller reads too slowly
      * @throws InterruptedException if the thread is interrupted
      */
     void part(byte[] part) throws IOException, TimeoutException, InterruptedException;
 
     /**
-     * Ends a response in parts.
+     * Ends a streamed response.
      *
-     * @throws IOException if the caller has gone
+     * @throws IOException if the caller has disconnected
      * @throws TimeoutException if the caller reads too slowly
      * @throws InterruptedException if the thread is interrupted
      */
     void end() throws IOException, TimeoutException, InterruptedException;
 
-    /** Cuts off a response that has begun, so that the caller sees it is not whole. */
+    /** Aborts a response that has begun, so that the caller can tell that it is incomplete. */
     void cut();
 
     /**
-     * Refuses a request that no upstream has answered.
+     * Sends an error response to a request that no upstream has answered.
      *
-     * @param outcome what is known of it
-     * @param retryAfter when to come back; of use only if the request has not run
-     * @throws IOException if the caller has gone
+     * @param outcome the outcome of the request
+     * @param retryAfter the time after which the caller may retry; of use only if the request has
+     *     not run
+     * @throws IOException if the caller has disconnected
      * @throws TimeoutException if the caller reads too slowly
      * @throws InterruptedException if the thread is interrupted
      */
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/CrashReporter.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/CrashReporter.java
@@ -14,12 +14,13 @@
 import org.orchidmount.upstream.CancelSignal;
 
 /**
- * Guards the runs of one request at registered upstreams, and reports it if one of these crashes.
+ * Guards the runs of one request at registered upstreams, and reports the request if an upstream
+ * crashes while running it.
  *
- * <p>An upstream has crashed under a request if the connection broke while the request was at work
- * there, or the upstream fell silent, and it had not said that it leaves, and if its process has
- * ended: nothing listens at its address any more, or another one registers in its place. A broken
- * connection alone proves nothing. Used by one virtual thread.
+ * <p>A crash is attributed to a request if the connection broke or the upstream stopped responding
+ * while it ran the request, the upstream had not announced that it was leaving, and its process has
+ * ended: nothing listens at its address any more, or another upstream has registered in its place.
+ * A broken connection alone proves nothing. Confined to one virtual thread.
  */
 final class CrashReporter implements AutoCloseable {
     private static final PartLog LOG = PartLog.of("crash");
@@ -53,24 +54,27 @@
                 mRequest.body());
     }
 
-    /** Tells whether the request must not be run any more. */
+    /** Returns whether the request is quarantined and must not run again. */
     boolean isQuarantined() {
         return mGuard.isQuarantined();
     }
 
-    /** Begins a run; returns false if the request must not run now. */
+    /**
+     * Begins a run; returns false if the request must not run now, because it is quarantined or a
+     * copy of it is running.
+     */
     boolean mayRun() {
         return mGuard.mayRun();
     }
 
     /**
-     * Notes that a call has failed. One that was cancelled was broken off here; if its caller had
-     * left, what the upstream does meanwhile still counts.
+     * Records a failed call. A cancelled call was aborted by this instance; if the reason was that
+     * the caller disconnected, a crash of the upstream that follows still counts.
      *
      * @param assignment the work that the call was for
      * @param failure how it failed
-     * @param from the last event that the caller had when the call began; 0 for none
-     * @param at the last event that the caller has now
+     * @param from the id of the last event that the caller had when the call began; 0 for none
+     * @param at the id of the last event that the caller has now; 0 for none
      */
     void failed(Assignment assignment, Failure failure, long from, long at) {
         if (mCancel.reason() == CancelSignal.Reason.CALLER_GONE && failure.mayHaveRun()) {
@@ -108,12 +112,12 @@
                 mContext.loads().sequencesAt(assignment.id()));
     }
 
-    /** Notes that an upstream has survived the request. */
+    /** Records that an upstream has run the request without crashing. */
     void survived() {
         mGuard.survived();
     }
 
-    /** Notes that the request is refused because it is quarantined. */
+    /** Records that the request was refused because it is quarantined. */
     void refused() {
         LOG.info("%s: refused, the request %s is quarantined", mRequest.id(), mGuard.fingerprint());
         mReports.refused();
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/EndClassifier.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/EndClassifier.java
@@ -13,39 +13,39 @@
 import org.orchidmount.routes.Route;
 import org.orchidmount.routing.AttemptRule;
 
-/** Names why a request ended as it did, for its report. Stateless. */
+/** Classifies how a request ended, for its report. Stateless. */
 final class EndClassifier {
     private EndClassifier() {}
 
-    /** What the driver of a request did last. */
+    /** The final action of {@link RequestRelay} for a request. */
     enum End {
-        /** It passed on a whole response. */
+        /** A complete response was forwarded. */
         SERVED,
-        /** It passed on an error response of an upstream. */
+        /** An error response of an upstream was forwarded. */
         UPSTREAM_ERROR,
-        /** It gave the request up before the caller had any of a response. */
+        /** The request was given up before the caller had received any part of a response. */
         GIVEN_UP,
-        /** It refused the request because upstreams crash when they run it. */
+        /** The request was refused because upstreams crash when they run it. */
         QUARANTINED,
-        /** It cut a stream that the caller had in part. */
+        /** A stream was aborted of which the caller had received a part. */
         CUT,
-        /** It stopped because the caller had left. */
+        /** The caller disconnected. */
         CALLER_LEFT
     }
 
     /**
-     * What is known of a request at its end.
+     * The state of a request when it ended.
      *
-     * @param end what was done last
-     * @param history its attempts that failed
-     * @param isClientRetry whether its caller had been refused before
-     * @param isTooLarge whether it is larger than an engine's memory
-     * @param lacksPrefill whether memory was there when no place was found
-     * @param isPaced whether no place was found because upstreams have got what they take
-     * @param route its route
+     * @param end the final action
+     * @param history the failed attempts
+     * @param isClientRetry whether the caller repeats a request that was refused before
+     * @param isTooLarge whether the request exceeds the memory of an engine
+     * @param lacksPrefill whether memory was available, but no engine that could prefill in time
+     * @param isPaced whether every upstream was at its stated limit or had asked for a pause
+     * @param route the route of the request
      * @param first the time to the first part of a response, if any came
-     * @param longestPause the longest pause of its stream
-     * @param progress what it waited for
+     * @param longestPause the longest gap between two parts of the stream
+     * @param progress the times that the request has waited, by activity
      */
     record Facts(
             End end,
@@ -70,14 +70,20 @@
         };
     }
 
-    /** An upstream may have crashed under this very attempt, which then was not refused unrun. */
+    /**
+     * If the request has run, an upstream may have crashed in this very attempt, so it was not
+     * refused.
+     */
     private static RequestEnd quarantined(Facts facts) {
         return facts.history().executions() > 0
                 ? RequestEnd.FAILED
                 : RequestEnd.REFUSED_QUARANTINED;
     }
 
-    /** Returns how long a request has waited for a place, with memory where that is needed. */
+    /**
+     * Returns the time that a request has waited for a placement, including the reservation of
+     * memory.
+     */
     static Duration roomWait(RequestProgress progress) {
         return progress.waited(Activity.PLACEMENT).plus(progress.waited(Activity.RESERVATION));
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/EnginePlacer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/EnginePlacer.java
@@ -29,16 +29,19 @@
 /**
  * Finds a decode engine for one request and reserves memory there, before its prompt is prefilled.
  *
- * <p>It carries out {@link MemoryRule}, {@link MemoryWaitRule} and {@link PrefillRule}. Invariant:
- * what was reserved or announced and is not used is released. Used by one virtual thread.
+ * <p>Applies {@link MemoryRule}, {@link MemoryWaitRule} and {@link PrefillRule}. Invariant:
+ * reservations and announcements that are not used are withdrawn. Confined to one virtual thread.
  */
 final class EnginePlacer {
     private static final PartLog LOG = PartLog.of("engine");
 
-    /** Pause between two looks for room: some refreshes of what others announce. */
+    /**
+     * Interval between two searches for capacity; other instances refresh their announcements
+     * several times within it.
+     */
     private static final Duration POLL = Duration.ofMillis(45);
 
-    /** How long an announcement takes to all instances, and a little more. */
+    /** Time in which an announcement reaches all instances, with a small margin. */
     private static final Duration ANNOUNCED_AFTER = Duration.ofMillis(30);
 
     private final RelayContext mContext;
@@ -121,10 +124,10 @@
     }
 
     /**
-     * Waits for an engine with room and reserves memory there.
+     * Waits for an engine with capacity and reserves memory there.
      *
      * @param tried the engines that the request has tried
-     * @return the place; nothing if none was found in time
+     * @return the placement; empty if none was found in time
      * @throws InterruptedException if the thread is interrupted
      */
     Optional<Placement> place(Set<Incarnation> tried) throws InterruptedException {
@@ -138,8 +141,8 @@
             mIsPaced = placement.isEmpty() && areAllPassedOver();
             long nowNanos = mContext.clock().nanoTime();
             if (placement.isPresent()) {
-                // Another attempt waits as a new request does, or the waits of a client retry would
-                // add up to more than its caller waits for the first part.
+                // Further attempts wait only as long as a new request; otherwise the waits of a
+                // client retry would add up to more than its caller waits for the first part.
                 mLongestWait = mNewRequestWait;
                 return placement;
             }
@@ -157,7 +160,10 @@
         return Optional.empty();
     }
 
-    /** Tells whether the request is larger than an engine's memory, so that none was asked. */
+    /**
+     * Returns whether the request exceeds the memory of an engine, in which case no engine was
+     * asked.
+     */
     boolean isTooLarge() {
         return mIsTooLarge;
     }
@@ -167,14 +173,20 @@
         return mContext.areAllPassedOver(mService.name(), Stage.DECODE, passedOver);
     }
 
-    /** A request is not held where there is no engine, or none takes anything while it waits. */
+    /**
+     * Returns whether waiting is useless: there is no engine, or none accepts work before the wait
+     * ends.
+     */
     private boolean noneTakesWorkBefore(long waitNanos) {
         List<Incarnation> engines = mContext.upstreams().takingWork(mService.name(), Stage.DECODE);
         return engines.isEmpty()
                 || mIsPaced && mContext.pace().untilAnyTakesWork(engines).toNanos() > waitNanos;
     }
 
-    /** Tells whether the last look found that each engine is passed over for what it states. */
+    /**
+     * Returns whether the last search found every engine at its stated limit or in a pause that it
+     * has asked for.
+     */
     boolean isPaced() {
         return mIsPaced;
     }
@@ -189,7 +201,7 @@
         return mOutput.forecastInput(0);
     }
 
-    /** Tells whether the last look found memory, but no engine that could prefill in time. */
+    /** Returns whether the last search found memory, but no engine that could prefill in time. */
     boolean lacksPrefill() {
         return mLacksPrefill;
     }
@@ -213,7 +225,10 @@
         return idle.isPresent() ? idle : placeNow(tried, PrefillRule.Choice.SPLIT);
     }
 
-    /** Asks engines in turn, each once; one that was tried only if there is no other. */
+    /**
+     * Asks engines in turn, each once. An engine that was tried before is asked only if there is no
+     * other.
+     */
     private Optional<Placement> placeNow(Set<Incarnation> tried, PrefillRule.Choice choice)
             throws InterruptedException {
         Set<String> excluded = excluded(choice);
@@ -272,9 +287,10 @@
     }
 
     /**
-     * Names the engines that have no room, that are ejected or refuse work, or that the choice
-     * rules out. One that is gone or refuses looks like the emptiest of all, so a request waits for
-     * room at another rather than try it.
+     * Returns the ids of the engines that have no capacity, that are ejected, refuse work or are
+     * throttled, or that the prefill choice rules out. An engine that is gone or refuses work
+     * appears to have the lowest load of all, so a request waits for capacity at another engine
+     * rather than try it.
      */
     private Set<String> excluded(PrefillRule.Choice choice) {
         Set<String> excluded = new HashSet<>(saturatedEngines());
@@ -312,8 +328,8 @@
     }
 
     /**
-     * Checks a placement again once all instances have received it. Where the engine has much room,
-     * that need not be waited for.
+     * Checks a placement again once all instances have received its announcement. The wait is
+     * skipped if the engine has ample free memory.
      */
     private boolean keepsPlace(Placement placement) throws InterruptedException {
         if (mService.engine().isEmpty()) {
@@ -351,7 +367,10 @@
                 this::backlogMillis);
     }
 
-    /** Prefers engines whose memory is less full and that have less to prefill. */
+    /**
+     * Estimates the backlog of an engine so that engines with more free memory and fewer queued
+     * prefills are preferred.
+     */
     private double backlogMillis(String upstreamId, double ownMillis) {
         int prefillTokens = mContext.loads().prefillBacklogTokens(upstreamId);
         return ownMillis
@@ -373,7 +392,7 @@
         return memoryTokens > 0 ? usedTokens / memoryTokens : 0;
     }
 
-    /** Releases the memory of a placement that the request did not use. */
+    /** Releases the memory reserved for a placement that the request did not use. */
     void release(Placement placement) {
         mReservations.release(placement);
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/EventFramer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/EventFramer.java
@@ -11,15 +11,16 @@
 import java.util.List;
 
 /**
- * Cuts a stream of server-sent events into whole events, byte for byte, and reads their ids.
+ * Splits a stream of server-sent events into complete events without changing a byte, and reads
+ * their ids.
  *
- * <p>Invariant: the events returned, joined, are the bytes fed, but for an unfinished event at the
- * end. Confined to one thread.
+ * <p>Invariant: the events returned, concatenated, equal the bytes fed, except for an incomplete
+ * event at the end. Confined to one thread.
  */
 final class EventFramer {
     private static final String ID = "id:";
 
-    /** Far more than an event of tokens has. */
+    /** Size limit of one event; events that carry tokens are far smaller. */
     private static final int MAX_EVENT_BYTES = 1024 * 1024;
 
     private final ByteArrayOutputStream mEvent = new ByteArrayOutputStream();
@@ -28,11 +29,11 @@
     private boolean mIsNumbered;
 
     /**
-     * A whole event.
+     * A complete event.
      *
-     * @param bytes its bytes with the empty line that ends it
-     * @param id its id, or that of the event before if it has none
-     * @param isNumbered whether it states an id of its own
+     * @param bytes the bytes of the event, including the empty line that ends it
+     * @param id the id of the event, or that of the previous event if it has none
+     * @param isNumbered whether the event has an id of its own
      */
     record Event(byte[] bytes, long id, boolean isNumbered) {}
 
@@ -65,17 +66,18 @@
             mId = Long.parseLong(text);
             mIsNumbered = true;
         } catch (NumberFormatException ignored) {
-            // A stream cannot be resumed at an id that is no number, so the one before stands.
-            // Not logged: it may happen with each event, and the caller gets the event unchanged.
+            // A stream cannot be resumed at an id that is not a number, so the previous id is kept.
+            // Not logged: this may happen with every event, and the caller receives the event
+            // unchanged.
         }
     }
 
-    /** Tells whether the stream stands between two events. */
+    /** Returns whether the bytes fed so far end with a complete event. */
     boolean isBetweenEvents() {
         return mEvent.size() == 0;
     }
 
-    /** Tells whether an event has grown beyond all bounds. */
+    /** Returns whether the current event exceeds the size limit. */
     boolean isOverfull() {
         return mEvent.size() > MAX_EVENT_BYTES;
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/KvCacheRef.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/KvCacheRef.java
@@ -6,9 +6,9 @@
 package org.orchidmount.relay;
 
 /**
- * Where the KV cache of a prompt is that a prefill engine has prefilled.
+ * The location of the KV cache of a prompt that a prefill engine has prefilled.
  *
  * @param address the host and port of the engine that holds it
- * @param handle its name there
+ * @param handle the handle of the KV cache at that engine
  */
 public record KvCacheRef(String address, String handle) {}
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/MemoryReservations.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/MemoryReservations.java
@@ -17,14 +17,19 @@
 import org.orchidmount.relay.RequestProgress.Activity;
 import org.orchidmount.upstream.CancelSignal;
 
-/** Reserves memory at engines for one request, and releases it. Used by one virtual thread. */
+/** Reserves memory at engines for one request, and releases it. Confined to one virtual thread. */
 final class MemoryReservations {
     private static final PartLog LOG = PartLog.of("engine");
 
-    /** How long an engine keeps memory that is not used: longer than a prefill takes. */
+    /**
+     * Time for which an engine keeps reserved memory that is not used; longer than a prefill takes.
+     */
     private static final Duration LIFE = Duration.ofMillis(1_800);
 
-    /** An engine answers at once, so one that does not is given up. */
+    /**
+     * Timeout of a reservation call. Engines answer these at once, so one that does not is given
+     * up.
+     */
     private static final Duration TIMEOUT = Duration.ofMillis(300);
 
     private final RelayContext mContext;
@@ -41,13 +46,13 @@
     }
 
     /**
-     * Reserves memory. A cancel does not break the call off, because memory whose name is not known
-     * cannot be released; the call is short.
+     * Reserves memory at an engine. Cancelling the request does not abort the call, because a
+     * reservation whose id is unknown cannot be released; the call is short.
      *
-     * @param assignment the engine
-     * @param tokens how much
-     * @return the reservation's name; nothing if the engine has no room or fails, or the request
-     *     was cancelled before
+     * @param assignment the work assigned to the engine
+     * @param tokens the memory to reserve, in tokens
+     * @return the id of the reservation; empty if the engine has no capacity or fails, or if the
+     *     request was already cancelled
      */
     Optional<String> reserve(Assignment assignment, int tokens) {
         if (mCancel.isCancelled()) {
@@ -83,8 +88,8 @@
     }
 
     /**
-     * Releases the memory of a placement that the request did not use. If the engine has started
-     * again, it is lost, and its name may be that of another reservation now.
+     * Releases the memory of a placement that the request did not use. If the engine has restarted,
+     * the reservation is lost and its id may now be that of another one, so nothing is sent.
      */
     void release(Placement placement) {
         if (placement.assignment().hasStartedAgain()) {
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Placement.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Placement.java
@@ -10,15 +10,15 @@
 import org.orchidmount.pacing.SendPermit;
 
 /**
- * A place at an upstream for one attempt. Immutable.
+ * The upstream chosen for one attempt, with what is reserved and announced there. Immutable.
  *
- * @param assignment the work in this instance's directory
- * @param reservation the name of the memory reserved at the upstream, if any
- * @param output the output that was announced, if any
- * @param prefill the prefill that was announced, if the same engine does it
- * @param permit the right to send the request there
- * @param prefillQueueTokens if so, the tokens of the prompt and what the engine has to prefill
- *     before; else 0
+ * @param assignment the work as recorded in this instance's directory
+ * @param reservation the id of the memory reservation at the upstream, if any
+ * @param output the announced output sequence, if any
+ * @param prefill the announced prefill sequence, if the same engine prefills the prompt
+ * @param permit the permit to send the request to the upstream
+ * @param prefillQueueTokens the tokens of the prompt and of the prefills queued before it, if the
+ *     same engine prefills the prompt; otherwise 0
  */
 record Placement(
         Assignment assignment,
@@ -27,13 +27,13 @@
         Optional<InFlightSequence> prefill,
         SendPermit permit,
         int prefillQueueTokens) {
-    /** Returns a place at an upstream where nothing is reserved or announced. */
+    /** Creates a placement at an upstream where nothing is reserved or announced. */
     static Placement atPlainService(Assignment assignment, SendPermit permit) {
         return new Placement(
                 assignment, Optional.empty(), Optional.empty(), Optional.empty(), permit, 0);
     }
 
-    /** Tells whether the engine of the place prefills the prompt itself. */
+    /** Returns whether the engine prefills the prompt itself. */
     boolean isUnsplit() {
         return prefill.isPresent();
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Prefiller.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Prefiller.java
@@ -32,22 +32,28 @@
 /**
  * Has the prompt of one request prefilled by prefill engines.
  *
- * <p>Invariants: a KV cache that no engine has taken is freed; one whose engine has started again
- * is lost, and its name is neither sent nor freed. Used by one virtual thread.
+ * <p>Invariants: a KV cache that no decode engine has taken is freed; a KV cache whose engine has
+ * restarted is lost, and its handle is neither sent nor freed. Confined to one virtual thread.
  */
 final class Prefiller {
     private static final PartLog LOG = PartLog.of("prefill");
 
-    /** The rest of an answer whose head has come. */
+    /** Time allowed to read the body of a prefill response after its head. */
     private static final Duration BODY_TIMEOUT = Duration.ofMillis(500);
 
-    /** A KV cache is used again within this time: half of the 500 ms that engines keep it. */
+    /**
+     * Time within which an unused KV cache is used by another attempt; half of the 500 ms for which
+     * engines keep it.
+     */
     private static final Duration REUSE_WITHIN = Duration.ofMillis(250);
 
-    /** Engines asked in turn, so that one silent engine costs one wait. */
+    /** Maximum number of engines asked in turn, so that one silent engine costs only one wait. */
     private static final int MAX_ENGINES = 2;
 
-    /** Decode engines that refuse a KV cache before it is given up: one may be at fault itself. */
+    /**
+     * Number of decode engines that refuse a KV cache before it is given up; a single one may
+     * itself be at fault.
+     */
     private static final int MAX_CACHE_REFUSALS = 2;
 
     private final RelayContext mContext;
@@ -86,7 +92,7 @@
         mArrivedNanos = context.clock().nanoTime();
     }
 
-    /** Chooses by the load of the prefill engines where the prompt is prefilled. */
+    /** Returns where the prompt is to be prefilled, given the load of the prefill engines. */
     PrefillRule.Choice choice() {
         if (mCacheRefusals >= MAX_CACHE_REFUSALS) {
             return PrefillRule.Choice.UNSPLIT;
@@ -97,7 +103,7 @@
                 targetLeftMillis());
     }
 
-    /** Returns what is left of the target; all of it once it has passed. */
+    /** Returns the time left until the target; the whole target once it has passed. */
     private double targetLeftMillis() {
         Duration target = mRequest.route().target();
         double leftMillis =
@@ -117,7 +123,7 @@
                 this::backlogMillis);
     }
 
-    /** Counts what all instances have given an engine to prefill. */
+    /** Returns the prefill backlog that all instances together have assigned to an engine. */
     private double backlogMillis(String upstreamId, double ownMillis) {
         int tokens = mContext.loads().prefillBacklogTokens(upstreamId);
         return Math.max(ownMillis, pace().prefillEngineMillis(tokens));
@@ -128,10 +134,10 @@
     }
 
     /**
-     * Has the prompt prefilled if a prefill engine takes work. A KV cache that was made shortly
-     * before, and was not used, is returned again.
+     * Has the prompt prefilled if a prefill engine is available. A KV cache that was created
+     * shortly before and has not been used is returned again.
      *
-     * @return where the KV cache is; nothing if no engine has prefilled the prompt
+     * @return the location of the KV cache; empty if no engine has prefilled the prompt
      * @throws InterruptedException if the thread is interrupted
      */
     Optional<KvCacheRef> prefill() throws InterruptedException {
@@ -162,7 +168,7 @@
         }
     }
 
-    /** Every call but the request's first takes from the retry budget. */
+    /** Every call except the first of the request is charged to the retry budget. */
     private boolean mayAsk(int asked) {
         return !mCancel.isCancelled()
                 && asked < MAX_ENGINES
@@ -261,7 +267,7 @@
         return mPrefilledTokens;
     }
 
-    /** Frees a KV cache that no engine has taken. */
+    /** Frees a KV cache that no decode engine has taken. */
     void freeUnused() {
         forgetIfLost();
         mUnused.ifPresent(
@@ -273,11 +279,12 @@
     }
 
     /**
-     * Notes that a decode engine has refused the request with its KV cache. That may be for the
-     * engine's own sake; but a cache that two have refused cannot be fetched, because the prefill
-     * engine no longer has it or cannot send it. So it is given up, that engine counts as failed,
-     * and the request is prefilled where it runs: another prefill would be for nothing too. A cache
-     * whose engine has started again is lost for a known reason and does not count.
+     * Records that a decode engine has refused the request with its KV cache. The cause may be the
+     * decode engine itself; but a cache that two engines have refused cannot be fetched, because
+     * the prefill engine no longer holds it or cannot send it. The cache is then given up, the
+     * prefill engine counts as failed, and the decode engine prefills the prompt itself, because
+     * another remote prefill would be wasted too. A cache whose engine has restarted is lost for a
+     * known reason and does not count.
      */
     void cacheRefused() {
         forgetIfLost();
@@ -291,7 +298,9 @@
         }
     }
 
-    /** Notes that an engine has taken the KV cache: only now is it known that it was of use. */
+    /**
+     * Records that a decode engine has taken the KV cache, which shows that the prefill succeeded.
+     */
     void used() {
         if (mUnused.isPresent()) {
             mPrefilledAt.ifPresent(mContext.upstreams()::proved);
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Relay.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Relay.java
@@ -22,22 +22,22 @@
 import org.orchidmount.routing.OutputLengthEstimator;
 import org.orchidmount.upstream.CancelSignal;
 
-/** Serves requests by upstreams that register themselves. Thread-safe. */
+/** Relays requests to upstreams that register themselves. Thread-safe. */
 public final class Relay {
     private final RelayContext mContext;
 
     /**
      * Creates a relay.
      *
-     * @param upstreams the upstreams known here
+     * @param upstreams the upstreams known to this instance
      * @param retryLimit the limit on the retries of all instances together
-     * @param instances how many instances share that limit now
+     * @param instances the number of instances that currently share the limit
      * @param loads the sequences in flight at engines
      * @param announcer announces sequences to the other instances
-     * @param crashes what is known of requests that crash upstreams
+     * @param crashes the reports of requests that crash upstreams
      * @param pace the limits that upstreams state
      * @param connections connections to upstreams
-     * @param protocol what upstreams speak
+     * @param protocol the protocol of the upstreams
      * @param clock the clock
      */
     public Relay(
@@ -74,16 +74,16 @@
     }
 
     /**
-     * Serves a request to its end.
+     * Relays a request until it is answered, refused or cut off.
      *
      * @param request the request
-     * @param service the service chosen for it, one of the route's
-     * @param caller the caller's side
-     * @param cancel cancelled when the caller goes
-     * @param isStillAllowed asked before each attempt: false once the table in force no longer
-     *     allows the request, which then has not run
+     * @param service the service chosen for the request, one of those of its route
+     * @param caller the response to the caller
+     * @param cancel the signal that is cancelled when the caller disconnects
+     * @param isStillAllowed checked before each attempt; false once the table in force no longer
+     *     allows the request, in which case the attempt is not made
      * @return whether an upstream may have run it
-     * @throws IOException if the caller has gone
+     * @throws IOException if the caller has disconnected
      * @throws TimeoutException if the caller reads too slowly
      * @throws InterruptedException if the thread is interrupted
      */
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RelayContext.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RelayContext.java
@@ -36,20 +36,20 @@
 import org.orchidmount.upstream.CancelSignal;
 
 /**
- * What all requests share. Every part is thread-safe.
+ * State and services shared by all requests. Every component is thread-safe.
  *
- * @param upstreams the upstreams known here
- * @param retryBudgets the retry budget of each service
+ * @param upstreams the upstreams known to this instance
+ * @param retryBudgets the retry budgets by service
  * @param newRetryBudget creates the budget of a service that has none yet
- * @param enginePaces what has been observed of the engines of each service
- * @param outputLengths estimates the lengths of outputs
- * @param clientRetries tells retries of callers from new requests
+ * @param enginePaces the estimators of engine speed by service
+ * @param outputLengths the estimator of output lengths
+ * @param clientRetries the detector that tells retries of callers from new requests
  * @param loads the sequences in flight at engines
  * @param announcer announces sequences to the other instances
- * @param crashes what is known of requests that crash upstreams
+ * @param crashes the reports of requests that crash upstreams
  * @param pace the limits that upstreams state
  * @param connections connections to upstreams
- * @param protocol what upstreams speak
+ * @param protocol the protocol of the upstreams
  * @param clock the clock
  */
 record RelayContext(
@@ -66,25 +66,25 @@
         HttpConnections connections,
         UpstreamProtocol protocol,
         MonotonicClock clock) {
-    /** Bytes of the answer to a call other than a request; far more than any has. */
+    /** Size limit of the response to a control call; actual responses are far smaller. */
     static final int MAX_CONTROL_BYTES = 64 * 1024;
 
     private static final PartLog LOG = PartLog.of("engine");
 
-    /** The answer to a release does not matter, so little is waited for. */
+    /** Timeout of a release call; short, because its response is not needed. */
     private static final Duration RELEASE_TIMEOUT = Duration.ofMillis(500);
 
-    /** Returns the retry budget of a service. */
+    /** Returns the retry budget of a service, created on first use. */
     RetryBudget retryBudget(String service) {
         return retryBudgets.computeIfAbsent(service, name -> newRetryBudget.get());
     }
 
-    /** Returns what is learned of the engines of a service. */
+    /** Returns the estimator of the speed of a service's engines, created on first use. */
     EnginePaceEstimator enginePace(String service) {
         return enginePaces.computeIfAbsent(service, name -> new EnginePaceEstimator());
     }
 
-    /** Learns from a call that failed, unless it failed because its caller had gone. */
+    /** Updates the health of an upstream after a failed call, unless the request was cancelled. */
     void callFailed(Assignment assignment, Failure failure, CancelSignal cancel) {
         LOG.debug(failure.describe());
         if (cancel.isCancelled()) {
@@ -97,13 +97,13 @@
         }
     }
 
-    /** Learns from the head of a response of an upstream to a request. */
+    /** Applies what the head of a response to a request states about its upstream. */
     void responded(Assignment assignment, ClientResponse response, long sentNanos) {
         boolean hasServed = HttpStatus.isSuccess(response.getResponseCode());
         observe(assignment, response, hasServed, sentNanos);
     }
 
-    /** Learns from the head of a response of an upstream to another call than a request. */
+    /** Applies what the head of a response to a control call states about its upstream. */
     void respondedToCall(Assignment assignment, ClientResponse response, long sentNanos) {
         observe(assignment, response, false, sentNanos);
     }
@@ -121,8 +121,9 @@
     }
 
     /**
-     * Returns how many assignments an upstream of a service may have from this instance at once.
-     * Each has one connection, and the upstream counts those of all instances.
+     * Returns the maximum number of concurrent assignments from this instance to an upstream of a
+     * service. Each assignment uses one connection, and the upstream counts the connections of all
+     * instances.
      */
     int mostAtOnce(Service service) {
         return service.maxConnections().isEmpty()
@@ -131,9 +132,10 @@
     }
 
     /**
-     * Takes the right to send a request to the upstream that was chosen for it.
+     * Acquires a permit to send a request to the upstream that was chosen for it.
      *
-     * @return the right; nothing if the upstream has got what it takes, whose work is then released
+     * @return the permit; empty if the upstream accepts no more requests, in which case the
+     *     assignment is released
      */
     Optional<SendPermit> mayBeSent(Assignment assignment, RelayRequest request)
             throws InterruptedException {
@@ -146,8 +148,8 @@
     }
 
     /**
-     * Learns from a refusal. One by an upstream that states a limit or asks for a pause is for
-     * these, and shows nothing of its health.
+     * Records a refusal. If the upstream states a limit or asks for a pause, the refusal is
+     * attributed to that and does not affect its health.
      */
     void refused(Assignment assignment) {
         if (!pace.refusedBy(assignment.incarnation())) {
@@ -155,7 +157,10 @@
         }
     }
 
-    /** Learns from a refusal of a request for which memory was reserved, in the same way. */
+    /**
+     * Records the refusal of a request for which memory was reserved, by the same rule as {@link
+     * #refused}.
+     */
     void refusedDespiteRoom(Assignment assignment) {
         if (!pace.refusedBy(assignment.incarnation())) {
             upstreams.refusedDespiteRoom(assignment);
@@ -163,9 +168,10 @@
     }
 
     /**
-     * Tells whether a service has upstreams, and each of them is passed over for what it states.
+     * Returns whether a service has available upstreams and all of them are throttled, that is, at
+     * their stated limit or in a pause that they have asked for.
      *
-     * @param passedOver the identities of those that are, of any service
+     * @param passedOver the ids of the throttled upstreams of all services
      */
     boolean areAllPassedOver(String service, Stage stage, Set<String> passedOver) {
         if (passedOver.isEmpty()) {
@@ -177,8 +183,9 @@
     }
 
     /**
-     * Releases something at an upstream, on a thread of its own. During a pause of the upstream it
-     * is left to lapse there, which takes as long as most pauses.
+     * Releases a reservation or a KV cache at an upstream, on a separate thread. During a pause
+     * that the upstream has asked for, no call is made: the resource expires there, which takes as
+     * long as most pauses.
      */
     void release(Assignment assignment, HttpHead head) {
         if (pace.isPaused(assignment.incarnation())) {
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RelayRequest.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RelayRequest.java
@@ -13,19 +13,19 @@
 import org.orchidmount.routes.Route;
 
 /**
- * A request as it is handed to upstreams, independent of how it came. The headers and the body are
- * not to be changed.
+ * A request as it is sent to upstreams, independent of how it was received. The headers and the
+ * body must not be modified.
  *
- * @param id the caller's identity of the request
- * @param route its route
- * @param account the client account that it counts for, if any
+ * @param id the id by which the caller knows the request
+ * @param route the route of the request
+ * @param account the client account that the request counts towards, if any
  * @param method the HTTP method
  * @param pathAndQuery the path and the query as they were sent
- * @param headers the fields that are passed on
- * @param body the whole body
- * @param endNanos the monotonic time at which the request must have its final answer
+ * @param headers the header fields to forward
+ * @param body the complete body
+ * @param endNanos the monotonic time by which the request must be answered
  * @param callerEndNanos the monotonic time until which the caller waits, at least {@code endNanos}
- * @param prompt set for requests to model engines
+ * @param prompt the properties of the prompt; present for requests to model engines only
  */
 public record RelayRequest(
         String id,
@@ -39,20 +39,22 @@
         long callerEndNanos,
         Optional<Prompt> prompt) {
     /**
-     * What is known of a request to a model engine before it runs.
+     * Properties of a request to a model engine that are known before it runs.
      *
-     * @param tokens the tokens of the prompt
-     * @param maxOutputTokens the most tokens of the output; 0 if the caller states none
-     * @param expectedOutputTokens what the caller expects the output to have; 0 if it states none
-     * @param afterEvent the last event that the caller has; 0 for none
+     * @param tokens the length of the prompt in tokens
+     * @param maxOutputTokens the maximum length of the output in tokens; 0 if the caller states
+     *     none
+     * @param expectedOutputTokens the length of the output in tokens that the caller expects; 0 if
+     *     it states none
+     * @param afterEvent the id of the last event that the caller has received; 0 for none
      */
     public record Prompt(
             int tokens, int maxOutputTokens, int expectedOutputTokens, long afterEvent) {}
 
     /**
-     * Returns the time until the request must have its final answer.
+     * Returns the time left until the request must be answered.
      *
-     * @param nowNanos the present monotonic time
+     * @param nowNanos the current monotonic time
      * @return at least 1 ns, so that it can serve as a timeout
      */
     Duration left(long nowNanos) {
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RequestProgress.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RequestProgress.java
@@ -12,11 +12,11 @@
 import org.orchidmount.internal.log.PartLog;
 
 /**
- * What one request waits for, so that the log shows what was under way when its caller left and how
- * long that went on.
+ * Tracks what one request waits for, so that the log shows what was under way when its caller
+ * disconnected and how long the request continued after that.
  *
- * <p>Invariant: writes at most two lines a request. Thread-safe: the request's thread writes the
- * steps, the thread that notices the departure reads them.
+ * <p>Invariant: writes at most two log lines per request. Thread-safe: the request's thread writes
+ * the current activity, and the thread that detects the disconnection reads it.
  */
 final class RequestProgress {
     private static final PartLog LOG = PartLog.of("departure");
@@ -29,22 +29,22 @@
     private volatile Current mCurrent;
     private volatile Departure mDeparture;
 
-    /** Nanoseconds that the request has waited for each; used by the request's thread only. */
+    /** Total time waited for each activity, in nanoseconds. Confined to the request's thread. */
     private final Map<Activity, Long> mWaitedNanos = new EnumMap<>(Activity.class);
 
     /** What a request may wait for. */
     enum Activity {
-        /** For a place at an upstream. */
+        /** A placement at an upstream. */
         PLACEMENT,
-        /** For memory at an engine. */
+        /** A reservation of memory at an engine. */
         RESERVATION,
-        /** For an engine to prefill the prompt. */
+        /** An engine that prefills the prompt. */
         PREFILL,
-        /** For a connection to the upstream, and for the request to be written to it. */
+        /** A connection to the upstream, and the request to be written to it. */
         SENDING,
-        /** For the head of the upstream's response. */
+        /** The head of the upstream's response. */
         RESPONSE,
-        /** For the rest of the response, or for the caller to take it. */
+        /** The rest of the response, or the caller to receive it. */
         BODY
     }
 
@@ -59,12 +59,12 @@
         mCurrent = new Current(Activity.PLACEMENT, NO_UPSTREAM, mArrivedNanos);
     }
 
-    /** Notes that the request waits for something that needs no upstream. */
+    /** Records that the request now waits for an activity that involves no upstream. */
     void waitsFor(Activity activity) {
         waitsFor(activity, NO_UPSTREAM);
     }
 
-    /** Notes that the request waits for an upstream. */
+    /** Records that the request now waits for an upstream. */
     void waitsFor(Activity activity, String upstreamId) {
         long nowNanos = mClock.nanoTime();
         addWaited(nowNanos);
@@ -76,7 +76,10 @@
         mWaitedNanos.merge(before.activity(), nowNanos - before.sinceNanos(), Long::sum);
     }
 
-    /** Returns how long the request has waited for something, all its earlier waits together. */
+    /**
+     * Returns the total time that the request has waited for an activity, without a wait that is
+     * still under way.
+     */
     Duration waited(Activity activity) {
         return Duration.ofNanos(mWaitedNanos.getOrDefault(activity, 0L));
     }
@@ -86,7 +89,7 @@
         return Duration.ofNanos(mClock.nanoTime() - mArrivedNanos);
     }
 
-    /** Logs that the caller has left. */
+    /** Logs that the caller has disconnected. */
     void callerLeft() {
         long nowNanos = mClock.nanoTime();
         mDeparture = new Departure(nowNanos);
@@ -100,7 +103,7 @@
                 millis(nowNanos - current.sinceNanos()));
     }
 
-    /** Logs how long the request went on after its caller had left, if it has left. */
+    /** Logs how long the request continued after its caller disconnected, if it did. */
     void ended() {
         Departure departure = mDeparture;
         if (departure != null) {
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RequestRelay.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RequestRelay.java
@@ -32,13 +32,14 @@
 import org.orchidmount.upstream.CancelSignal;
 
 /**
- * Serves one request to registered upstreams to its end: place, attempt, again or give up.
+ * Relays one request to registered upstreams: chooses an upstream, makes an attempt, and then tries
+ * again or gives up.
  *
- * <p>It carries out {@link AttemptRule}, {@link FinalOutcome} and {@link RetryAfter}. Invariants: a
- * request that must not run twice is handed to another upstream only after each one before has said
- * that it has not run it, or was never reached; "not run" is said only if that holds for all; a
- * request that is quarantined is handed to none, whatever its attempts are. Retries of this path
- * happen here and nowhere below. Used by one virtual thread.
+ * <p>Applies {@link AttemptRule}, {@link FinalOutcome} and {@link RetryAfter}. Invariants: a
+ * request that must not run twice is sent to another upstream only after each previous one has
+ * stated that it has not run it, or was never reached; the caller is told "not run" only if that
+ * holds for all; a quarantined request is sent to no upstream, whatever its attempts are. Retries
+ * on this path are made here and in no layer below. Confined to one virtual thread.
  */
 final class RequestRelay {
     private static final PartLog LOG = PartLog.of("relay");
@@ -60,7 +61,10 @@
     private AttemptRule.History mHistory = AttemptRule.History.NONE;
     private boolean mLastHadNoRoom;
 
-    /** Whether no place was found because of what upstreams state. */
+    /**
+     * Whether no placement was found because every upstream is at its stated limit or has asked for
+     * a pause.
+     */
     private boolean mIsPaced;
 
     private final RequestReporter mReporter;
@@ -113,7 +117,7 @@
                 .isRetry(mRequest.route().name(), Duration.ofNanos(waitNanos));
     }
 
-    /** Serves the request to its end; returns whether an upstream may have run it. */
+    /** Relays the request until it has ended; returns whether an upstream may have run it. */
     Execution run() throws IOException, TimeoutException, InterruptedException {
         try (mCrashReporter;
                 CancelSignal.Registration _ = mCancel.onCancel(mProgress::callerLeft)) {
@@ -155,7 +159,7 @@
                 && (!AttemptRule.takesFromBudget(mHistory) || mBudget.tryTake());
     }
 
-    /** Nothing was sent, so nothing was repeated. */
+    /** Returns the retry to the budget: nothing was sent, so nothing was repeated. */
     private void giveBackRetry() {
         if (AttemptRule.takesFromBudget(mHistory)) {
             mBudget.giveBack();
@@ -176,7 +180,7 @@
                 mRequest.id(), mHistory.attempts(), upstream, outcome, mAttempts.lastFailure());
     }
 
-    /** Finds a place at an upstream, with memory reserved where that is needed. */
+    /** Finds a placement at an upstream, with memory reserved where that is needed. */
     private Optional<Placement> place() throws InterruptedException {
         mProgress.waitsFor(Activity.PLACEMENT);
         if (mEngines.isPresent()) {
@@ -185,7 +189,7 @@
         return placeAtPlainService();
     }
 
-    /** Asks upstreams in turn whether they have room, each once. */
+    /** Tries to acquire a permit for one upstream after another, each once. */
     private Optional<Placement> placeAtPlainService() throws InterruptedException {
         Set<String> passedOver = new HashSet<>(mContext.pace().passedOver());
         mIsPaced = false;
@@ -219,8 +223,8 @@
             throws IOException, TimeoutException, InterruptedException {
         try {
             Optional<KvCacheRef> cache = prefill(placement);
-            // The wait for a place and the prefill may have taken longer than a change of the
-            // table, or than the same request has taken to crash upstreams elsewhere.
+            // During the wait for a placement and the prefill, the table may have changed, or the
+            // same request may have crashed upstreams elsewhere.
             AttemptOutcome outcome =
                     mIsStillAllowed.getAsBoolean() && mCrashReporter.mayRun()
                             ? mAttempts.run(placement, cache, mHistory)
@@ -248,9 +252,10 @@
     }
 
     /**
-     * Releases what an engine has not taken; notes what it may have taken as used. A request that
-     * waits at its engine when its caller leaves takes nothing any more, so its memory would stay
-     * reserved for up to 1.8 s; if it has taken it all the same, the release does nothing.
+     * Releases what an engine has not taken, and marks what it may have taken as used. A request
+     * that is queued at its engine when its caller disconnects takes nothing any more, so its
+     * memory would stay reserved for up to 1.8 s; if it has taken the memory after all, the release
+     * has no effect.
      */
     private void settle(EnginePlacer engines, Placement placement, AttemptOutcome outcome) {
         boolean untouched =
@@ -266,7 +271,7 @@
         }
     }
 
-    /** Ends a request that no upstream has answered to its end. */
+    /** Ends a request that no upstream has answered completely. */
     private End giveUp() throws IOException, TimeoutException, InterruptedException {
         if (mCancel.isCancelled()) {
             return End.CALLER_LEFT;
@@ -295,7 +300,10 @@
         mCaller.refuse(FinalOutcome.QUARANTINED, Duration.ZERO);
     }
 
-    /** A request that may not be tried again looks for no place, but the reason is the same. */
+    /**
+     * Also checks the upstreams as they are now: a request that may not be tried again searches for
+     * no placement, but is refused for the same reason.
+     */
     private boolean isPaced() {
         return mIsPaced
                 || mEngines.map(EnginePlacer::isPaced).orElse(false)
@@ -319,7 +327,10 @@
         mCaller.refuse(outcome, retryAfter());
     }
 
-    /** Returns when to come back; where upstreams state when they take work, by then. */
+    /**
+     * Returns the time after which the caller may retry; where upstreams state when they accept
+     * work, it is based on that.
+     */
     private Duration retryAfter() {
         List<Incarnation> upstreams = mContext.upstreams().takingWork(mService.name(), stage());
         if (mIsPaced && !upstreams.isEmpty()) {
@@ -342,7 +353,7 @@
         return mContext.enginePace(mService.name()).pace();
     }
 
-    /** Returns the requests a second that an upstream without a limit is expected to take. */
+    /** Returns the requests per second that an upstream without a limit is expected to accept. */
     private double unlimitedPerSecond(int upstreams) {
         if (mRequest.prompt().isPresent()) {
             int tokens = mRequest.prompt().get().tokens();
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RequestReporter.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RequestReporter.java
@@ -17,9 +17,9 @@
 import org.orchidmount.routing.AttemptRule;
 
 /**
- * Writes what became of one request to the log.
+ * Writes the report of one request to the log.
  *
- * <p>Invariant: one line a request that was read. Used by one virtual thread.
+ * <p>Invariant: one line for each request that was read. Confined to one virtual thread.
  */
 final class RequestReporter {
     private static final PartLog LOG = PartLog.of(RequestReport.PART);
@@ -45,14 +45,14 @@
         mPromptTokens = request.prompt().map(RelayRequest.Prompt::tokens).orElse(0);
     }
 
-    /** Notes an attempt, and whether its upstream has prefilled the prompt itself. */
+    /** Records an attempt, and whether its upstream prefilled the prompt itself. */
     void attempted(String upstreamId, boolean prefilledThere) {
         mAttempts++;
         mLastUpstream = upstreamId;
         mUnsplitTokens += prefilledThere ? mPromptTokens : 0;
     }
 
-    /** Writes the line. */
+    /** Writes the report line. */
     void ended(
             End end,
             AttemptRule.History history,
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/ResponseKind.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/ResponseKind.java
@@ -9,10 +9,10 @@
 public enum ResponseKind {
     /** The response of the upstream to this request, whatever its status. */
     RESPONSE,
-    /** The upstream says that it has not run the request and will not. */
+    /** The upstream states that it has not run the request and will not. */
     NOT_RUN,
-    /** Another upstream has the address; it has not run the request. */
+    /** Another upstream answered at the address; it has not run the request. */
     MISDIRECTED,
-    /** The response of another request, or of nobody that can be trusted. */
+    /** The response to another request, or from a sender that cannot be trusted. */
     FOREIGN
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/SequenceTracker.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/SequenceTracker.java
@@ -12,13 +12,15 @@
 import org.orchidmount.routing.EnginePaceEstimator;
 
 /**
- * Announces what engines work on for one request, and learns from it how fast they generate.
+ * Announces the sequences of one request that engines work on, and estimates the speed of the
+ * engines from them.
  *
- * <p>Invariant: each placement has an identity of its own, so that a late announcement of one is
- * not taken for the next. Used by one virtual thread; the count of tokens is read by another.
+ * <p>Invariant: each placement has an id of its own, so that a late announcement of one is not
+ * mistaken for the next. Confined to one virtual thread, except for the token count, which another
+ * thread reads.
  */
 final class SequenceTracker {
-    /** Events below which a stream does not tell how fast its engine is. */
+    /** Minimum number of events in a stream from which the speed of its engine is estimated. */
     private static final int MIN_EVENTS = 8;
 
     private final RelayContext mContext;
@@ -33,7 +35,7 @@
         mEventTokens = service.engine().map(Service.Engine::eventTokens).orElse(1);
     }
 
-    /** Announces that an engine works on a sequence from now on; returns it as announced. */
+    /** Announces that an engine begins to work on a sequence; returns the sequence as announced. */
     InFlightSequence begin(InFlightSequence unplaced, Assignment assignment) {
         mGeneratedTokens.set(0);
         InFlightSequence sequence = unplaced.placedAt(assignment.incarnation(), ++mPlacements);
@@ -49,23 +51,25 @@
         mContext.announcer().end(ended);
     }
 
-    /** Announces that an engine works on nothing more of a placement. */
+    /** Announces that an engine no longer works on any sequence of a placement. */
     void end(Placement placement) {
         placement.output().ifPresent(this::end);
         endPrefill(placement);
     }
 
-    /** Announces that the prompt of a placement is prefilled, if its engine had to do that. */
+    /** Announces that the prefill of a placement has ended, if its own engine does it. */
     void endPrefill(Placement placement) {
         placement.prefill().ifPresent(this::end);
     }
 
-    /** Notes how far the output has come at its engine. */
+    /** Updates the number of tokens generated so far. */
     void generated(long events) {
         mGeneratedTokens.set((int) (events * mEventTokens));
     }
 
-    /** Learns from the first part of a stream how long its engine took to it. */
+    /**
+     * Updates the estimated speed with the time that the engine took to the first part of a stream.
+     */
     void observeFirst(Placement placement) {
         long sinceNanos = placement.assignment().sinceNanos();
         double tookMillis = Millis.ofNanos(mContext.clock().nanoTime() - sinceNanos);
@@ -75,7 +79,7 @@
         }
     }
 
-    /** Learns from a whole stream how fast its engine generates. */
+    /** Updates the estimated speed with a complete stream, unless it is too short. */
     void observe(long events, StreamTiming timing) {
         if (events >= MIN_EVENTS) {
             mPace.observeOutput((events - 1) * mEventTokens, timing.durationMillis());
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/StreamForward.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/StreamForward.java
@@ -10,11 +10,11 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * The stream that a caller gets, from one upstream or from several in turn.
+ * The stream sent to a caller, from one upstream or from several in succession.
  *
- * <p>Invariants: only whole events are passed on, each id once and in rising order; the head is
- * that of the upstream whose event is passed on first, since an upstream that broke off before is
- * not continued but replaced. Used by one thread.
+ * <p>Invariants: only complete events are forwarded, each id once and in increasing order; the head
+ * is that of the upstream whose event is forwarded first, because an upstream that failed before
+ * its first event is not continued but replaced. Confined to one thread.
  */
 final class StreamForward {
     private final CallerResponse mAnswer;
@@ -29,10 +29,10 @@
     }
 
     /**
-     * An upstream begins; what another left unfinished is forgotten.
+     * Begins the stream of an upstream; an incomplete event of the previous one is discarded.
      *
-     * @param status its status
-     * @param headers the fields that are passed on, if the caller has no head yet
+     * @param status the HTTP status
+     * @param headers the header fields to forward, if no head has been sent yet
      */
     void upstreamBegins(int status, HeaderMap headers) {
         mFramer = new EventFramer();
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Passes on the events that a part completes. */
+    /** Forwards the events that a part completes. */
     void part(byte[] part) throws IOException, TimeoutException, InterruptedException {
         for (EventFramer.Event event : mFramer.feed(part)) {
             if (event.isNumbered() && event.id() <= mLast) {
@@ -77,7 +77,7 @@
         return mFramer.isBetweenEvents();
     }
 
-    /** Returns the id of the last event passed on, 0 for none. */
+    /** Returns the id of the last event forwarded; 0 for none. */
     long last() {
         return mLast;
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/StreamTiming.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/StreamTiming.java
@@ -8,7 +8,7 @@
 import org.orchidmount.clock.Millis;
 import org.orchidmount.clock.MonotonicClock;
 
-/** When the parts of one stream were received. Used by one thread. */
+/** Arrival times of the parts of one stream. Confined to one thread. */
 final class StreamTiming {
 
     private final MonotonicClock mClock;
@@ -19,17 +19,17 @@
     private int mParts;
 
     /**
-     * Starts to measure.
+     * Creates a timing of a stream that has no parts yet.
      *
      * @param clock the clock
-     * @param arrivedNanos when the request arrived
+     * @param arrivedNanos the monotonic time at which the request arrived
      */
     StreamTiming(MonotonicClock clock, long arrivedNanos) {
         mClock = clock;
         mArrivedNanos = arrivedNanos;
     }
 
-    /** Notes a part; returns true if it is the first. */
+    /** Records the arrival of a part; returns whether it is the first. */
     boolean part() {
         long nowNanos = mClock.nanoTime();
         boolean first = mParts == 0;
@@ -51,7 +51,7 @@
         return Math.round(Millis.ofNanos(mLongestPauseNanos));
     }
 
-    /** Returns the time between the first part and the newest. */
+    /** Returns the time between the first and the latest part. */
     double durationMillis() {
         return Millis.ofNanos(mNewestNanos - mFirstNanos);
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Upstream.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Upstream.java
@@ -15,9 +15,9 @@
 import org.orchidmount.upstream.CancelSignal;
 
 /**
- * One incarnation of an upstream as this instance sees it: one that starts again is another object,
- * so that what is known of the one before ends with it. Guarded by the lock of {@link
- * UpstreamDirectory}.
+ * One incarnation of an upstream as seen by this instance. A restarted upstream is another object,
+ * so that what is known of the previous incarnation does not carry over. Guarded by the lock of
+ * {@link UpstreamDirectory}.
  */
 final class Upstream {
     private Registration mRegistration;
@@ -39,7 +39,9 @@
         return mRegistration.incarnation();
     }
 
-    /** Returns what is cancelled once a newer incarnation has taken its place; needs no lock. */
+    /**
+     * Returns the signal that is cancelled when a newer incarnation takes its place; needs no lock.
+     */
     CancelSignal end() {
         return mEnd;
     }
@@ -52,7 +54,9 @@
         return mRegistration.state() == State.GONE;
     }
 
-    /** Notes that another upstream has its address, so that it has ended without having left. */
+    /**
+     * Records that another upstream has its address, so that it has ended without announcing it.
+     */
     void replaced() {
         mIsReplaced |= isReady();
         update(mRegistration.in(State.GONE));
@@ -62,7 +66,7 @@
         return mIsReplaced;
     }
 
-    /** Tells whether it has said that it leaves. */
+    /** Returns whether it has announced that it is leaving. */
     boolean isLeaving() {
         return !isReady() && !mIsReplaced;
     }
@@ -81,12 +85,14 @@
         mPendingMillis = Math.max(0, mPendingMillis - workMillis);
     }
 
-    /** Counts the assignments that have not ended. */
+    /** Returns the number of assignments that have not ended. */
     int assignments() {
         return mAssignments;
     }
 
-    /** Returns when a piece of work would be done at ordinary speed. */
+    /**
+     * Returns the time in which work would be finished at ordinary speed, including the backlog.
+     */
     double ordinaryMillis(double workMillis, UpstreamDirectory.Backlog backlog) {
         boolean serial = mRegistration.stage() != Registration.Stage.NONE;
         double backlogMillis = backlog.millis(mRegistration.id(), mPendingMillis);
@@ -94,7 +100,7 @@
                 workMillis, backlogMillis, mRegistration.slots(), serial);
     }
 
-    /** Returns when a piece of work is expected to be done, by what calls have shown. */
+    /** Returns the time in which work is expected to be finished, given the observed health. */
     double expectedMillis(
             double workMillis,
             UpstreamDirectory.Backlog backlog,
@@ -112,7 +118,7 @@
         return mHealth.backoff().isEjected(nowNanos);
     }
 
-    /** Tells whether it is ejected or refuses work again and again. */
+    /** Returns whether it is ejected or persistently refuses work. */
     boolean isAvoided(long nowNanos) {
         return isEjected(nowNanos) || mHealth.refusals().isPersistent(nowNanos);
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamCall.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamCall.java
@@ -9,14 +9,14 @@
 import java.util.Optional;
 
 /**
- * How one upstream is called for a request. Immutable.
+ * Parameters of a call to one upstream for a request. Immutable.
  *
- * @param upstreamId the identity of the upstream that is meant
- * @param left how long the upstream may work on it
- * @param phase whether only the prompt is to be prefilled
- * @param cache where the prompt's KV cache is, if it was prefilled elsewhere
- * @param reservation the memory reserved for it there, if any
- * @param afterEvent the last event that the caller has; 0 for none
+ * @param upstreamId the id of the upstream to be called
+ * @param left the time left for the upstream to work on the request
+ * @param phase the part of the request to be done
+ * @param cache the location of the prompt's KV cache, if another engine prefilled it
+ * @param reservation the id of the memory reservation at the upstream, if any
+ * @param afterEvent the id of the last event that the caller has received; 0 for none
  */
 public record UpstreamCall(
         String upstreamId,
@@ -25,11 +25,11 @@
         Optional<KvCacheRef> cache,
         Optional<String> reservation,
         long afterEvent) {
-    /** What of a request an upstream is to do. */
+    /** The part of a request that an upstream is to do. */
     public enum Phase {
         /** Prefills the prompt and keeps its KV cache. */
         PREFILL,
-        /** Does all that is left. */
+        /** Does everything that remains of the request. */
         COMPLETE
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamDirectory.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamDirectory.java
@@ -32,13 +32,14 @@
 import org.orchidmount.upstream.CancelSignal;
 
 /**
- * The blackboard of the relay: the upstreams known here, the work this instance has given them, and
- * what its calls have shown of them. {@link UpstreamCost} and {@link UpstreamHealth} decide by it.
+ * The upstreams known to this instance, the work that it has assigned to them, and their health as
+ * observed in its calls. {@link UpstreamCost} and {@link UpstreamHealth} hold the rules that use
+ * it.
  *
- * <p>Invariants: an upstream that leaves gets no new work; an address belongs to the upstream that
- * registered there last; an upstream that starts again is another one, of which nothing is known
- * yet, and work given before stays with the one before. Thread-safe; a choice and its assignment
- * are made under one hold of the lock.
+ * <p>Invariants: an upstream that is leaving gets no new work; an address belongs to the upstream
+ * that registered there last; a restarted upstream begins without load or known health, and earlier
+ * work stays with the previous incarnation. Thread-safe; an upstream is chosen and assigned within
+ * one critical section.
  */
 public final class UpstreamDirectory {
     private static final PartLog LOG = PartLog.of("upstreams");
@@ -46,7 +47,9 @@
     /** Upstreams beyond which those that have left are forgotten; half the target's. */
     private static final int FORGET_COUNT = 4_096;
 
-    /** An expected time below this says little about speed. */
+    /**
+     * Lower bound of the expected time in a ratio of speeds; shorter times say little about speed.
+     */
     private static final double MIN_ORDINARY_MILLIS = 1;
 
     private final OrderedLock mLock = new OrderedLock(LockRank.BOARD);
@@ -63,7 +66,7 @@
      *
      * @param zone the availability zone of this instance
      * @param clock the clock
-     * @param random breaks ties
+     * @param random the source of randomness that breaks ties
      */
     public UpstreamDirectory(String zone, MonotonicClock clock, RandomGenerator random) {
         mZone = zone;
@@ -72,8 +75,8 @@
     }
 
     /**
-     * Takes a registration. If it is of a new start of an upstream, the calls to the one before
-     * end.
+     * Applies a registration. If it is of a new incarnation of an upstream, the calls to the
+     * previous one are cancelled.
      *
      * @param registration the registration
      */
@@ -83,22 +86,23 @@
         mObserver.accept(registration);
     }
 
-    /** Passes each registration on from now on, once it is taken. */
+    /** Sets the observer that is called with each registration after it has been applied. */
     void observe(Consumer<Registration> observer) {
         mObserver = observer;
     }
 
     /**
-     * Passes on from now on what upstreams say in their answers here, and not yet in their
-     * registrations: that they leave.
+     * Sets the announcer of upstreams that state in a response to this instance, but not yet in
+     * their registrations, that they are leaving.
      *
-     * @param announcer takes the registration of each, as that of one that leaves; returns at once
+     * @param announcer called with the registration of each, in the state {@code DRAINING}; must
+     *     not block
      */
     public void announceDepartures(Consumer<Registration> announcer) {
         mDepartureAnnouncer = announcer;
     }
 
-    /** Notes that an upstream has said in an answer that it leaves. */
+    /** Records that an upstream has stated in a response that it is leaving. */
     void leaves(Assignment assignment) {
         Registration leaving;
         try (OrderedLock.Held _ = mLock.hold()) {
@@ -112,7 +116,7 @@
         mDepartureAnnouncer.accept(leaving);
     }
 
-    /** Tells whether an upstream has said that it leaves, so that its end is planned. */
+    /** Returns whether an upstream has announced that it is leaving, so that its end is planned. */
     boolean isLeaving(Assignment assignment) {
         try (OrderedLock.Held _ = mLock.hold()) {
             return assignment.upstream().isLeaving();
@@ -120,7 +124,8 @@
     }
 
     /**
-     * Tells whether an upstream is known to have ended: it, or another, has started in its place.
+     * Returns whether an upstream is known to have ended: it has restarted, or another has taken
+     * its address.
      */
     boolean hasEnded(Assignment assignment) {
         if (assignment.hasStartedAgain()) {
@@ -133,7 +138,7 @@
         }
     }
 
-    /** Takes a registration; returns the incarnation that it ends, if any. */
+    /** Applies a registration; returns the incarnation that it ends, if any. */
     private Optional<Upstream> take(Registration registration) {
         try (OrderedLock.Held _ = mLock.hold()) {
             Upstream known = mUpstreams.get(registration.id());
@@ -150,7 +155,10 @@
         }
     }
 
-    /** One that has left may be followed by an earlier start, if the registry forgot it first. */
+    /**
+     * An upstream that has left may be followed by an incarnation with an earlier start, if the
+     * registry has removed it in between.
+     */
     private static boolean isNextStart(Registration registration, Upstream known) {
         Incarnation incarnation = registration.incarnation();
         boolean isOther = !incarnation.equals(known.incarnation());
@@ -165,7 +173,9 @@
         mIdByAddress.put(registration.address(), registration.id());
     }
 
-    /** Notes that another upstream answered at the address of this one, which is therefore gone. */
+    /**
+     * Records that another upstream answered at the address of this one, which is therefore gone.
+     */
     void misdirected(Assignment assignment) {
         try (OrderedLock.Held _ = mLock.hold()) {
             assignment.upstream().replaced();
@@ -173,11 +183,12 @@
     }
 
     /**
-     * Gives work to the upstream with the least cost.
+     * Assigns work to the upstream with the lowest cost.
      *
-     * @param need what is needed
-     * @param tried those that the request has tried; another start of one of them is untried
-     * @return the assignment, or nothing if no upstream of the service takes work
+     * @param need the requirements of the work
+     * @param tried the incarnations that the request has tried; another incarnation of the same
+     *     upstream is untried
+     * @return the assignment; empty if no upstream of the service is available
      */
     Optional<Assignment> assign(Need need, Set<Incarnation> tried) {
         try (OrderedLock.Held _ = mLock.hold()) {
@@ -202,10 +213,10 @@
     }
 
     /**
-     * Names the upstreams that could take a request now, by what they say of themselves.
+     * Returns the upstreams that are available according to their registrations.
      *
      * @param service the service
-     * @param stage their stage
+     * @param stage the stage of the upstreams
      * @return their incarnations
      */
     List<Incarnation> takingWork(String service, Stage stage) {
@@ -218,11 +229,11 @@
     }
 
     /**
-     * Counts the requests that the upstreams of a service work on at once.
+     * Returns the number of requests that the upstreams of a service process concurrently.
      *
      * @param service the service
-     * @param stage their stage
-     * @return the sum over those that take work
+     * @param stage the stage of the upstreams
+     * @return the sum over the available upstreams
      */
     int slots(String service, Stage stage) {
         try (OrderedLock.Held _ = mLock.hold()) {
@@ -234,12 +245,12 @@
     }
 
     /**
-     * Names the upstreams of a service that are not fit for something.
+     * Returns the upstreams of a service that do not match a predicate.
      *
      * @param service the service
-     * @param stage their stage
-     * @param isFit tells which are
-     * @return the identities of the others
+     * @param stage the stage of the upstreams
+     * @param isFit the predicate on the id of an upstream
+     * @return the ids that do not match
      */
     Set<String> unfit(String service, Stage stage, Predicate<String> isFit) {
         try (OrderedLock.Held _ = mLock.hold()) {
@@ -269,7 +280,7 @@
                 && !need.excluded().contains(upstream.registration().id());
     }
 
-    /** A crashed upstream says nothing, but the one that follows it has its address. */
+    /** A crashed upstream announces nothing, but its successor takes over its address. */
     private boolean takesWork(Upstream upstream, String service, Stage stage) {
         Registration registration = upstream.registration();
         return upstream.isReady()
@@ -278,8 +289,8 @@
     }
 
     /**
-     * Returns the slowness of upstreams of which nothing was observed lately. What an engine needs
-     * is estimated from what all engines of its service have needed, so for these it is ordinary.
+     * Returns the slowness of upstreams without recent observations. For engines it is ordinary,
+     * because the time that an engine needs is already estimated from all engines of its service.
      */
     private double unobserved(String service, Stage stage, long nowNanos) {
         if (stage != Stage.NONE) {
@@ -303,10 +314,10 @@
     }
 
     /**
-     * Estimates when work would be done at the best upstream.
+     * Estimates the time in which the best upstream would finish the work.
      *
-     * @param need what is needed
-     * @return milliseconds, or nothing if no upstream takes work
+     * @param need the requirements of the work
+     * @return the time in milliseconds; empty if no upstream is available
      */
     OptionalDouble estimateMillis(Need need) {
         try (OrderedLock.Held _ = mLock.hold()) {
@@ -324,25 +335,25 @@
         }
     }
 
-    /** Notes that assigned work is done or has ended. Further calls change nothing. */
+    /** Ends assigned work, whether it succeeded or not. Further calls have no effect. */
     void release(Assignment assignment) {
         try (OrderedLock.Held _ = mLock.hold()) {
             assignment.endWork();
         }
     }
 
-    /** Learns from an upstream that did what it was given. */
+    /** Records that an upstream has succeeded in its work. */
     void succeeded(Assignment assignment) {
         answered(assignment);
         proved(assignment);
     }
 
-    /** Learns that an upstream did what it was given, as became known later. */
+    /** Records that an upstream has succeeded, where this becomes known only after its response. */
     void proved(Assignment assignment) {
         learn(assignment, (health, nowNanos) -> health.afterSuccess());
     }
 
-    /** Learns from the time of an answer, of which it is not known yet whether it is of use. */
+    /** Records the time of a response of which it is not known yet whether it is usable. */
     void answered(Assignment assignment) {
         learn(assignment, (health, nowNanos) -> afterAnswer(health, assignment, nowNanos));
     }
@@ -356,32 +367,33 @@
         return health.afterAnswer(tookMillis / ordinaryMillis, unobserved, nowNanos);
     }
 
-    /** Learns from an upstream that failed. */
+    /** Records that an upstream has failed. */
     void failed(Assignment assignment) {
         learn(assignment, UpstreamHealth::afterFailure);
     }
 
-    /** Learns from an upstream to which no connection could be made. */
+    /** Records that no connection to an upstream could be made. */
     void unreachable(Assignment assignment) {
         learn(assignment, UpstreamHealth::afterUnreachable);
     }
 
-    /** Learns from an upstream that refused what it was given. */
+    /** Records that an upstream has refused its work. */
     void refused(Assignment assignment) {
         learn(assignment, UpstreamHealth::afterRefusal);
     }
 
-    /** Learns from an upstream that refused a request for which it had just reserved memory. */
+    /** Records that an upstream has refused a request for which it had just reserved memory. */
     void refusedDespiteRoom(Assignment assignment) {
         learn(assignment, UpstreamHealth::afterRefusalDespiteRoom);
     }
 
     /**
-     * Names the upstreams of a stage that are ejected, or refuse work here again and again.
+     * Returns the upstreams of a stage that are ejected or persistently refuse work of this
+     * instance.
      *
      * @param service the service
      * @param stage the stage
-     * @return their identities; none if there is no other upstream, so that one of them is tried
+     * @return the ids; empty if there is no other upstream, so that one of them is tried
      */
     Set<String> avoided(String service, Stage stage) {
         try (OrderedLock.Held _ = mLock.hold()) {
@@ -416,23 +428,25 @@
         }
     }
 
-    /** What a call has shown of the health of its upstream. */
+    /** Update of the health of an upstream after a call. */
     @FunctionalInterface
     private interface Observation {
         UpstreamHealth apply(UpstreamHealth before, long nowNanos);
     }
 
     /**
-     * What a request needs of an upstream.
+     * Requirements of a request on an upstream.
      *
      * @param service the service
-     * @param stage the stage that the upstream must have
-     * @param workMillis the work expected of it
-     * @param otherZoneMillis what an upstream in another availability zone is counted as
-     * @param mayTakeTried whether one that was tried may be taken if there is no other
-     * @param excluded identities that are never taken
-     * @param mostAtOnce the assignments that an upstream may have at once from this instance
-     * @param backlog what else an upstream has to do
+     * @param stage the required stage
+     * @param workMillis the expected work in milliseconds
+     * @param otherZoneMillis the extra cost of an upstream in another availability zone, in
+     *     milliseconds
+     * @param mayTakeTried whether an upstream that was tried may be chosen if there is no other
+     * @param excluded the ids of upstreams that are never chosen
+     * @param mostAtOnce the maximum number of concurrent assignments of this instance to an
+     *     upstream
+     * @param backlog the estimator of the backlog of an upstream
      */
     record Need(
             String service,
@@ -443,22 +457,22 @@
             Set<String> excluded,
             int mostAtOnce,
             Backlog backlog) {
-        /** Needs an upstream that may have any number of assignments at once. */
+        /** Value of {@code mostAtOnce} that sets no limit. */
         static final int ANY_NUMBER = Integer.MAX_VALUE;
     }
 
-    /** Tells what an upstream has to do before it begins with more. Thread-safe. */
+    /** Estimates the work that an upstream has to do before it begins new work. Thread-safe. */
     @FunctionalInterface
     interface Backlog {
-        /** Knows no more than this instance's own work. */
+        /** Counts only the work that this instance has assigned. */
         Backlog OWN = (upstreamId, ownMillis) -> ownMillis;
 
         /**
-         * Estimates the backlog.
+         * Estimates the backlog of an upstream.
          *
-         * @param upstreamId the upstream
-         * @param ownMillis the work that this instance has given it
-         * @return milliseconds
+         * @param upstreamId the id of the upstream
+         * @param ownMillis the work that this instance has assigned to it, in milliseconds
+         * @return the backlog in milliseconds
          */
         double millis(String upstreamId, double ownMillis);
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamIndex.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamIndex.java
@@ -12,17 +12,17 @@
 import org.orchidmount.membership.Registration;
 
 /**
- * The upstreams of a directory, by identity and by service, so that a choice looks at those of one
- * service only.
+ * Index of the upstreams of a directory by id and by service, so that a choice examines the
+ * upstreams of one service only.
  *
- * <p>Invariant: each upstream stands under the service of its registration, and under no other. Not
- * thread-safe: guarded by the directory's lock.
+ * <p>Invariant: each upstream is indexed under the service of its registration, and under no other.
+ * Not thread-safe: guarded by the directory's lock.
  */
 final class UpstreamIndex {
     private final Map<String, Upstream> mById = new HashMap<>();
     private final Map<String, Map<String, Upstream>> mByService = new HashMap<>();
 
-    /** Returns the upstream of an identity; null if there is none. */
+    /** Returns the upstream with an id; null if there is none. */
     Upstream get(String id) {
         return mById.get(id);
     }
@@ -31,12 +31,12 @@
         return mById.size();
     }
 
-    /** Returns all upstreams of a service, also those that take no work. */
+    /** Returns all upstreams of a service, including those that are not available. */
     Collection<Upstream> ofService(String service) {
         return mByService.getOrDefault(service, Map.of()).values();
     }
 
-    /** Adds an upstream in place of the one that had its identity before. */
+    /** Adds an upstream, replacing the one that had the same id. */
     void put(Upstream upstream) {
         Upstream before = mById.put(upstream.registration().id(), upstream);
         if (before != null) {
@@ -45,7 +45,10 @@
         addToService(upstream);
     }
 
-    /** Passes a registration to an upstream that was added. */
+    /**
+     * Applies a registration to an indexed upstream, and moves the upstream if its service has
+     * changed.
+     */
     void update(Upstream upstream, Registration registration) {
         String before = upstream.registration().service();
         upstream.update(registration);
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamProtocol.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamProtocol.java
@@ -14,21 +14,22 @@
 import org.orchidmount.pacing.UpstreamStatement;
 
 /**
- * What upstreams speak. Implementations translate only: they hold no state, decide nothing and are
- * thread-safe.
+ * The protocol of the upstreams. Implementations only translate: they are stateless, make no
+ * decisions and are thread-safe.
  */
 public interface UpstreamProtocol {
     /**
-     * Makes the head of a call.
+     * Creates the head of a call.
      *
      * @param request the request
-     * @param call how the upstream is called
+     * @param call the parameters of the call
      * @return the head
      */
     HttpHead head(RelayRequest request, UpstreamCall call);
 
     /**
-     * Names who sends a request: its client account, or who the caller says it is.
+     * Returns the name of the sender of a request: its client account, or the name that the caller
+     * states.
      *
      * @param request the request
      * @return the name; empty if neither is known
@@ -40,91 +41,91 @@
      *
      * @param request the request
      * @param response the head of the response
-     * @return what it means
+     * @return the kind of the response
      */
     ResponseKind classify(RelayRequest request, ClientResponse response);
 
     /**
-     * Tells whether a response names a request as its own, whatever else it is worth.
+     * Returns whether a response names a request as its own, even if it is of no other use.
      *
      * @param request the request
      * @param response the head of the response
-     * @return false if it is that of another request, or names none
+     * @return false if the response names another request or none
      */
     boolean isResponseTo(RelayRequest request, ClientResponse response);
 
     /**
-     * Reads what a response to any call states of its upstream.
+     * Reads what a response to any call states about its upstream.
      *
      * @param response the head of the response
-     * @return the statement; nothing if another upstream responds in its place
+     * @return the statement; empty if another upstream responds in its place
      */
     Optional<UpstreamStatement> statement(ClientResponse response);
 
     /**
-     * Returns the fields of a response that are passed on to the caller.
+     * Returns the header fields of a response that are forwarded to the caller.
      *
      * @param response the head of the response
-     * @return the fields
+     * @return the header fields
      */
     HeaderMap responseHeaders(ClientResponse response);
 
     /**
-     * Reads the answer to a prefill.
+     * Parses the response to a prefill.
      *
-     * @param body the whole answer
-     * @return the handle
-     * @throws IOException if the answer cannot be read
+     * @param body the complete body of the response
+     * @return the handle of the KV cache
+     * @throws IOException if the response cannot be parsed
      */
     String handle(byte[] body) throws IOException;
 
     /**
-     * Makes the body of the call that reserves memory and a place at an engine.
+     * Creates the body of the call that reserves memory and a place at an engine.
      *
-     * @param tokens the memory
-     * @param life how long it is kept if it is not used
+     * @param tokens the memory to reserve, in tokens
+     * @param life the time for which the engine keeps the memory if it is not used
      * @return the body
      */
     byte[] reservation(int tokens, Duration life);
 
     /**
-     * Makes the head of the call that reserves memory and a place at an engine.
+     * Creates the head of the call that reserves memory and a place at an engine.
      *
-     * @param upstreamId the engine
+     * @param upstreamId the id of the engine
      * @return the head
      */
     HttpHead reserve(String upstreamId);
 
     /**
-     * Reads the answer to a reservation.
+     * Parses the response to a reservation.
      *
-     * @param body the whole answer
-     * @return the reservation's name
-     * @throws IOException if the answer cannot be read
+     * @param body the complete body of the response
+     * @return the id of the reservation
+     * @throws IOException if the response cannot be parsed
      */
     String reserved(byte[] body) throws IOException;
 
     /**
-     * Makes the head of the call that releases a reservation.
+     * Creates the head of the call that releases a reservation.
      *
-     * @param reservation its name
+     * @param reservation the id of the reservation
      * @return the head
      */
     HttpHead unreserve(String reservation);
 
     /**
-     * Makes the head of the call that frees a handle.
+     * Creates the head of the call that frees a KV cache.
      *
-     * @param handle the handle
+     * @param handle the handle of the KV cache
      * @return the head
      */
     HttpHead freeHandle(String handle);
 
     /**
-     * Returns how long a connection may be idle and still be used again.
+     * Returns how long a connection may be idle and still be reused.
      *
      * @param response the head of a response
-     * @return the longest idle time; zero if the connection is not to be used again
+     * @return the maximum idle time; zero if the connection must not be reused
      */
     Duration idleTimeout(ClientResponse response);
 }
