--- a/org.orchidmount/src/main/java/org/orchidmount/relay/AttemptRunner.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/AttemptRunner.java
@@ -66,7 +66,7 @@
      */
     private long mFromPosition;
 
-    private String mLastFailure = "no upstream takes work";
+    private String mLastFailure = "no upstream is available";
 
     /**
      * A complete error response that is forwarded to the caller if no later attempt succeeds.
@@ -157,11 +157,11 @@
         mFromPosition = position();
         Assignment assignment = placement.assignment();
         if (assignment.hasStartedAgain()) {
-            mLastFailure = "the upstream has started again";
+            mLastFailure = "the upstream has restarted";
             return AttemptOutcome.NOT_REACHED;
         }
         if (mContext.pace().isPaused(assignment.incarnation())) {
-            mLastFailure = "the upstream has asked for a pause meanwhile";
+            mLastFailure = "the upstream has asked for a pause since it was chosen";
             return AttemptOutcome.NOT_REACHED;
         }
         UpstreamCall upstreamCall =
@@ -216,13 +216,13 @@
                 } else {
                     mContext.refused(assignment);
                 }
-                mLastFailure = "status " + response.getResponseCode() + ", not run";
+                mLastFailure = "status " + response.getResponseCode() + ", request not run";
                 discard(call);
                 yield AttemptOutcome.NOT_RUN;
             }
             case MISDIRECTED -> {
                 mContext.upstreams().misdirected(assignment);
-                mLastFailure = "another upstream has the address";
+                mLastFailure = "another upstream answered at the address";
                 yield AttemptOutcome.NOT_RUN;
             }
             case FOREIGN -> {
@@ -232,7 +232,7 @@
                     mContext.respondedToCall(assignment, response, sentNanos);
                 }
                 mContext.upstreams().failed(assignment);
-                mLastFailure = "the response of another request";
+                mLastFailure = "the response belongs to another request";
                 call.abort();
                 yield AttemptOutcome.MAY_HAVE_RUN;
             }
@@ -280,7 +280,7 @@
         mCrashReporter.survived();
         mContext.upstreams().succeeded(placement.assignment());
         if (begunStream().isPresent()) {
-            mLastFailure = "status " + status + " for the rest of a stream";
+            mLastFailure = "status " + status + " instead of the rest of the stream";
             return AttemptOutcome.MAY_HAVE_RUN;
         }
         noteFirstResponse();
@@ -298,7 +298,7 @@
         StreamTiming timing = forward(placement, call, stream);
         if (!stream.isBetweenEvents()) {
             mContext.upstreams().failed(placement.assignment());
-            mLastFailure = "the stream ended within an event";
+            mLastFailure = "the stream ended with an incomplete event";
             return AttemptOutcome.MAY_HAVE_RUN;
         }
         mCrashReporter.survived();
@@ -332,8 +332,8 @@
 
     private void logStream(Placement placement, StreamForward stream, StreamTiming timing) {
         LOG.debug(
-                "%s: first after %d ms, longest pause %d ms, %d events from %s in %.0f ms, prompt"
-                        + " %s",
+                "%s: first part after %d ms, longest pause %d ms, %d events from %s in %.0f ms,"
+                        + " prompt %s",
                 mRequest.id(),
                 timing.firstMillis(),
                 timing.longestPauseMillis(),
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/CrashReporter.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/CrashReporter.java
@@ -101,8 +101,8 @@
     private void logBrokenOff(Assignment assignment, Failure failure, long from, long at) {
         double heldMillis = Millis.ofNanos(mContext.clock().nanoTime() - assignment.sinceNanos());
         LOG.info(
-                "%s: broken off: %s; fingerprint %s, %.0f ms after it was placed, from event %d"
-                        + " to %d, at work there %s",
+                "%s: connection broken: %s; fingerprint %s, %.0f ms after placement, from event %d"
+                        + " to %d, sequences in flight at the upstream: %s",
                 mRequest.id(),
                 failure.describe(),
                 mGuard.fingerprint(),
@@ -119,7 +119,9 @@
 
     /** Records that the request was refused because it is quarantined. */
     void refused() {
-        LOG.info("%s: refused, the request %s is quarantined", mRequest.id(), mGuard.fingerprint());
+        LOG.info(
+                "%s: refused: request fingerprint %s is quarantined",
+                mRequest.id(), mGuard.fingerprint());
         mReports.refused();
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/EnginePlacer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/EnginePlacer.java
@@ -208,7 +208,7 @@
 
     private void logNoPlace() {
         LOG.debug(
-                "%s: no decode engine for %d tokens within %d ms, prefill %s, no room at %s",
+                "%s: no decode engine for %d tokens within %d ms; prefill %s, no capacity at %s",
                 mRequest.id(),
                 reservedTokens(),
                 mLongestWait.toMillis(),
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/MemoryReservations.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/MemoryReservations.java
@@ -71,7 +71,7 @@
             byte[] answer = call.readAll(TIMEOUT, RelayContext.MAX_CONTROL_BYTES);
             if (!HttpStatus.isOk(response.getResponseCode())) {
                 LOG.debug(
-                        "%s: %d tokens not reserved at %s: status %d",
+                        "%s: memory for %d tokens not reserved at %s: status %d",
                         mRequestId, tokens, assignment.id(), response.getResponseCode());
                 return Optional.empty();
             }
@@ -80,7 +80,7 @@
             mContext.callFailed(assignment, e.failure(), mCancel);
         } catch (IOException e) {
             LOG.info(
-                    "%s: the reservation at %s cannot be read: %s",
+                    "%s: cannot parse the reservation response of %s: %s",
                     mRequestId, assignment.id(), e.getMessage());
             mContext.upstreams().failed(assignment);
         }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Prefiller.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Prefiller.java
@@ -230,7 +230,7 @@
             mCrashReporter.failed(assignment, e.failure(), 0, 0);
         } catch (IOException e) {
             LOG.info(
-                    "%s: the prefill at %s cannot be read: %s",
+                    "%s: cannot parse the prefill response of %s: %s",
                     mRequest.id(), assignment.id(), e.getMessage());
             mContext.upstreams().failed(assignment);
         }
@@ -243,7 +243,7 @@
         byte[] body = call.readAll(BODY_TIMEOUT, RelayContext.MAX_CONTROL_BYTES);
         if (!HttpStatus.isOk(response.getResponseCode())) {
             LOG.debug(
-                    "%s: not prefilled at %s: status %d",
+                    "%s: prompt not prefilled at %s: status %d",
                     mRequest.id(), assignment.id(), response.getResponseCode());
             mContext.refused(assignment);
             return Optional.empty();
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RelayContext.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RelayContext.java
@@ -202,7 +202,9 @@
             respondedToCall(assignment, response, sentNanos);
             call.readAll(RELEASE_TIMEOUT, MAX_CONTROL_BYTES);
         } catch (CallFailedException e) {
-            LOG.debug("not released: %s", e.failure().describe());
+            LOG.debug(
+                    "release failed, the resource expires at the upstream: %s",
+                    e.failure().describe());
         }
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RequestProgress.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RequestProgress.java
@@ -95,7 +95,7 @@
         mDeparture = new Departure(nowNanos);
         Current current = mCurrent;
         LOG.info(
-                "%s: the caller left after %d ms, during %s at %s since %d ms",
+                "%s: the caller disconnected after %d ms, during %s at %s for %d ms",
                 mRequestId,
                 millis(nowNanos - mArrivedNanos),
                 current.activity(),
@@ -109,7 +109,7 @@
         if (departure != null) {
             Current current = mCurrent;
             LOG.info(
-                    "%s: ended %d ms after the caller left, last during %s at %s",
+                    "%s: ended %d ms after the caller disconnected, last during %s at %s",
                     mRequestId,
                     millis(mClock.nanoTime() - departure.atNanos()),
                     current.activity(),
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RequestRelay.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RequestRelay.java
@@ -278,7 +278,9 @@
         }
         if (mAttempts.begunStream().isPresent()) {
             long last = mAttempts.begunStream().get().last();
-            LOG.info("%s: cut after event %d: %s", mRequest.id(), last, mAttempts.lastFailure());
+            LOG.info(
+                    "%s: stream aborted after event %d: %s",
+                    mRequest.id(), last, mAttempts.lastFailure());
             mCaller.cut();
             return End.CUT;
         }
@@ -323,7 +325,9 @@
                 mRequest.id(),
                 outcome,
                 mHistory.attempts(),
-                mIsPaced ? "no upstream takes more by what it states" : mAttempts.lastFailure());
+                mIsPaced
+                        ? "every upstream is at its stated limit or has asked for a pause"
+                        : mAttempts.lastFailure());
         mCaller.refuse(outcome, retryAfter());
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/StreamForward.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/StreamForward.java
@@ -53,7 +53,7 @@
             mAnswer.part(event.bytes());
         }
         if (mFramer.isOverfull()) {
-            throw new IOException("an event is too large");
+            throw new IOException("an event of the upstream exceeds the size limit of 1 MiB");
         }
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamDirectory.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamDirectory.java
@@ -111,7 +111,7 @@
             }
             leaving = assignment.upstream().registration().in(State.DRAINING);
         }
-        LOG.info("upstream %s says in an answer that it leaves", assignment.incarnation());
+        LOG.info("upstream %s states in a response that it is leaving", assignment.incarnation());
         update(leaving);
         mDepartureAnnouncer.accept(leaving);
     }
@@ -424,7 +424,7 @@
             ejected = upstream.isEjected(nowNanos) && !wasEjected;
         }
         if (ejected) {
-            LOG.info("upstream %s fails and is ejected for a while", assignment.id());
+            LOG.info("upstream %s is failing and is temporarily ejected", assignment.id());
         }
     }
 
