--- a/org.orchidmount.test/src/test/java/org/orchidmount/relay/EndClassifierTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/relay/EndClassifierTest.java
@@ -74,9 +74,9 @@
     }
 
     private void pass(Activity activity, long millis) {
-        mProgress.waitsFor(activity);
+        mProgress.startWaiting(activity);
         mClock.advance(Duration.ofMillis(millis));
-        mProgress.waitsFor(Activity.SENDING);
+        mProgress.startWaiting(Activity.SENDING);
     }
 
     private RequestEnd classify(
--- a/org.orchidmount.test/src/test/java/org/orchidmount/relay/EventFramerTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/relay/EventFramerTest.java
@@ -37,6 +37,6 @@
         assertThat(ids).containsExactly(1L, 2L, 2L).inOrder();
         assertThat(passed.toString(StandardCharsets.UTF_8))
                 .isEqualTo(STREAM.substring(0, STREAM.indexOf("id: 3")));
-        assertThat(framer.isBetweenEvents()).isFalse();
+        assertThat(framer.isAtEventBoundary()).isFalse();
     }
 }
--- a/org.orchidmount.test/src/test/java/org/orchidmount/relay/FullUpstreamsTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/relay/FullUpstreamsTest.java
@@ -68,6 +68,6 @@
                 names == null
                         ? Set.of()
                         : Arrays.stream(names.split(" ")).collect(Collectors.toSet());
-        assertThat(mContext.areAllPassedOver(service, stage, full)).isEqualTo(isWhy);
+        assertThat(mContext.areAllThrottled(service, stage, full)).isEqualTo(isWhy);
     }
 }
--- a/org.orchidmount.test/src/test/java/org/orchidmount/relay/RelayRulesPinTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/relay/RelayRulesPinTest.java
@@ -67,7 +67,7 @@
                             15,
                             random.nextBoolean(),
                             excluded,
-                            UpstreamDirectory.Need.ANY_NUMBER,
+                            UpstreamDirectory.Need.UNLIMITED,
                             queue);
             Optional<Assignment> assignment = directory.assign(need, avoided);
             assignment.ifPresent(held::add);
--- a/org.orchidmount.test/src/test/java/org/orchidmount/relay/UpstreamDirectoryTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/relay/UpstreamDirectoryTest.java
@@ -6,7 +6,7 @@
 package org.orchidmount.relay;
 
 import static com.google.common.truth.Truth.assertThat;
-import static org.orchidmount.relay.UpstreamDirectory.Need.ANY_NUMBER;
+import static org.orchidmount.relay.UpstreamDirectory.Need.UNLIMITED;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -33,15 +33,19 @@
 /** Tests {@code UpstreamDirectory}. */
 final class UpstreamDirectoryTest {
     private static final UpstreamDirectory.Need NEED =
-            need(Stage.NONE, Set.of(), ANY_NUMBER, UpstreamDirectory.Backlog.OWN);
+            need(Stage.NONE, Set.of(), UNLIMITED, UpstreamDirectory.Backlog.OWN);
 
     private final ManualClock mClock = new ManualClock();
     private final UpstreamDirectory mDirectory =
             new UpstreamDirectory("a", mClock, new SplittableRandom(3));
 
     private static UpstreamDirectory.Need need(
-            Stage stage, Set<String> excluded, int mostAtOnce, UpstreamDirectory.Backlog backlog) {
-        return new UpstreamDirectory.Need("s", stage, 70, 15, true, excluded, mostAtOnce, backlog);
+            Stage stage,
+            Set<String> excluded,
+            int maxAssignments,
+            UpstreamDirectory.Backlog backlog) {
+        return new UpstreamDirectory.Need(
+                "s", stage, 70, 15, true, excluded, maxAssignments, backlog);
     }
 
     @Test
@@ -129,7 +133,7 @@
         mDirectory.update(ready("i-a", "a", 1));
         mDirectory.update(ready("i-b", "b", 2));
         Assignment assignment = mDirectory.assign(NEED, tried("i-b")).get();
-        mDirectory.refusedDespiteRoom(assignment);
+        mDirectory.refusedDespiteReservation(assignment);
         mClock.advance(Duration.ofMillis(239));
         assertThat(mDirectory.avoided("s", Stage.NONE)).containsExactly("i-a");
         mClock.advance(Duration.ofMillis(1));
@@ -166,7 +170,7 @@
     void waitingBehindOthersIsNotSlowness() {
         mDirectory.update(ready("i-a", "a", 1));
         UpstreamDirectory.Backlog queue = (id, ownMillis) -> 630;
-        UpstreamDirectory.Need queued = need(Stage.PREFILL, Set.of(), ANY_NUMBER, queue);
+        UpstreamDirectory.Need queued = need(Stage.PREFILL, Set.of(), UNLIMITED, queue);
         mDirectory.update(engine("i-p"));
         for (int i = 0; i < 20; i++) {
             Assignment assignment = mDirectory.assign(queued, Set.of()).get();
@@ -222,7 +226,7 @@
     /** Serves requests one after another; returns how many each upstream got. */
     private Map<String, Integer> serve(int requests, int workMillis, Set<String> passedOver) {
         UpstreamDirectory.Need need =
-                need(Stage.NONE, passedOver, ANY_NUMBER, UpstreamDirectory.Backlog.OWN);
+                need(Stage.NONE, passedOver, UNLIMITED, UpstreamDirectory.Backlog.OWN);
         Map<String, Integer> served = new HashMap<>();
         for (int i = 0; i < requests; i++) {
             Assignment assignment = mDirectory.assign(need, Set.of()).get();
@@ -242,8 +246,8 @@
         Registration other =
                 new Registration("i-1", "t", "10.0.0.1:80", "a", 4, Stage.NONE, State.READY, 2);
         mDirectory.update(other);
-        assertThat(mDirectory.takingWork("s", Stage.NONE)).hasSize(1);
-        assertThat(mDirectory.takingWork("t", Stage.NONE)).containsExactly(other.incarnation());
+        assertThat(mDirectory.available("s", Stage.NONE)).hasSize(1);
+        assertThat(mDirectory.available("t", Stage.NONE)).containsExactly(other.incarnation());
     }
 
     /** Guards against more connections to an upstream than it accepts. */
@@ -269,7 +273,7 @@
         mDirectory.update(ready("i-a", "a", 1));
         mDirectory.update(ready("i-b", "b", 2));
         UpstreamDirectory.Backlog queue = (id, ownMillis) -> id.equals("i-a") ? 400 : ownMillis;
-        UpstreamDirectory.Need need = need(Stage.NONE, Set.of(), ANY_NUMBER, queue);
+        UpstreamDirectory.Need need = need(Stage.NONE, Set.of(), UNLIMITED, queue);
         assertThat(mDirectory.assign(need, Set.of()).get().id()).isEqualTo("i-b");
     }
 
@@ -465,12 +469,12 @@
     void workOfTheOneBeforeIsToldFromThatOfTheNewStart() {
         mDirectory.update(started("i-a", 1, 10));
         Assignment before = mDirectory.assign(NEED, Set.of()).get();
-        assertThat(before.hasStartedAgain()).isFalse();
+        assertThat(before.hasRestarted()).isFalse();
         mDirectory.update(started("i-a", 1, 10).in(State.DRAINING));
-        assertThat(before.hasStartedAgain()).isFalse();
+        assertThat(before.hasRestarted()).isFalse();
         mDirectory.update(started("i-a", 1, 11));
-        assertThat(before.hasStartedAgain()).isTrue();
-        assertThat(mDirectory.assign(NEED, Set.of()).get().hasStartedAgain()).isFalse();
+        assertThat(before.hasRestarted()).isTrue();
+        assertThat(mDirectory.assign(NEED, Set.of()).get().hasRestarted()).isFalse();
     }
 
     /**
@@ -484,13 +488,13 @@
         Assignment assignment = mDirectory.assign(NEED, tried("i-b")).get();
         mDirectory.unreachable(assignment);
         mDirectory.update(started("i-a", 3, 10));
-        assertThat(assignment.hasStartedAgain()).isFalse();
+        assertThat(assignment.hasRestarted()).isFalse();
         assertThat(mDirectory.avoided("s", Stage.NONE)).containsExactly("i-a");
         mClock.advance(Duration.ofSeconds(10));
         Assignment next = mDirectory.assign(NEED, tried("i-b")).get();
         assertThat(next.peer().host()).isEqualTo("10.0.0.3");
         mDirectory.update(started("i-a", 3, 11));
-        assertThat(assignment.hasStartedAgain()).isTrue();
+        assertThat(assignment.hasRestarted()).isTrue();
     }
 
     /** One that leaves may name any address; the one that works there keeps it. */
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Assignment.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Assignment.java
@@ -18,16 +18,16 @@
     private final Upstream mUpstream;
     private final double mWorkMillis;
     private final double mOrdinaryMillis;
-    private final long mSinceNanos;
+    private final long mAssignedNanos;
     private final Incarnation mIncarnation;
     private final Peer mPeer;
     private boolean mPending = true;
 
-    Assignment(Upstream upstream, double workMillis, double ordinaryMillis, long sinceNanos) {
+    Assignment(Upstream upstream, double workMillis, double ordinaryMillis, long assignedNanos) {
         mUpstream = upstream;
         mWorkMillis = workMillis;
         mOrdinaryMillis = ordinaryMillis;
-        mSinceNanos = sinceNanos;
+        mAssignedNanos = assignedNanos;
         mIncarnation = upstream.incarnation();
         HostPort address = HostPort.parse(upstream.registration().address());
         // The name of the peer includes the incarnation, so that connections to another incarnation
@@ -54,16 +54,16 @@
     }
 
     /** Returns the signal that is cancelled when the upstream restarts. */
-    CancelSignal end() {
-        return mUpstream.end();
+    CancelSignal restartSignal() {
+        return mUpstream.restartSignal();
     }
 
     /**
      * Returns whether the upstream has restarted since. The work is then lost: its reservations and
      * KV caches no longer exist, and their ids may by now belong to other requests.
      */
-    boolean hasStartedAgain() {
-        return end().isCancelled();
+    boolean hasRestarted() {
+        return restartSignal().isCancelled();
     }
 
     /**
@@ -74,8 +74,8 @@
         return mOrdinaryMillis;
     }
 
-    long sinceNanos() {
-        return mSinceNanos;
+    long assignedNanos() {
+        return mAssignedNanos;
     }
 
     /** Removes the work from the load of the upstream. Further calls have no effect. */
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/AttemptRunner.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/AttemptRunner.java
@@ -56,15 +56,15 @@
     private final CrashReporter mCrashReporter;
     private final long mArrivedNanos;
     private Optional<StreamForward> mStream = Optional.empty();
-    private Optional<HeldResponse> mHeld = Optional.empty();
+    private Optional<FallbackResponse> mFallback = Optional.empty();
     private Optional<StreamTiming> mTiming = Optional.empty();
-    private long mFirstNanos;
+    private long mFirstResponseNanos;
     private boolean mHasResponse;
 
     /**
      * Id of the last event that the caller had received when the latest attempt began; 0 for none.
      */
-    private long mFromPosition;
+    private long mStartEventId;
 
     private String mLastFailure = "no upstream is available";
 
@@ -75,7 +75,7 @@
      * @param headers the header fields to forward
      * @param body the complete body
      */
-    record HeldResponse(int status, HeaderMap headers, byte[] body) {}
+    record FallbackResponse(int status, HeaderMap headers, byte[] body) {}
 
     AttemptRunner(
             RelayContext context,
@@ -111,9 +111,9 @@
      * none has come.
      */
     Optional<Duration> firstResponse() {
-        return mFirstNanos == 0
+        return mFirstResponseNanos == 0
                 ? Optional.empty()
-                : Optional.of(Duration.ofNanos(mFirstNanos - mArrivedNanos));
+                : Optional.of(Duration.ofNanos(mFirstResponseNanos - mArrivedNanos));
     }
 
     /**
@@ -124,19 +124,19 @@
                 .orElse(Duration.ZERO);
     }
 
-    private void noteFirstResponse() {
-        if (mFirstNanos == 0) {
-            mFirstNanos = mContext.clock().nanoTime();
+    private void recordFirstResponse() {
+        if (mFirstResponseNanos == 0) {
+            mFirstResponseNanos = mContext.clock().nanoTime();
         }
     }
 
     /** Returns the error response to forward if no attempt succeeds. */
-    Optional<HeldResponse> held() {
-        return mHeld;
+    Optional<FallbackResponse> fallback() {
+        return mFallback;
     }
 
     /** Returns the stream of which the caller has received a part, if any. */
-    Optional<StreamForward> begunStream() {
+    Optional<StreamForward> startedStream() {
         return mStream.filter(StreamForward::isStarted);
     }
 
@@ -154,9 +154,9 @@
     AttemptOutcome run(Placement placement, Optional<KvCacheRef> cache, AttemptRule.History history)
             throws IOException, TimeoutException, InterruptedException {
         mHasResponse = false;
-        mFromPosition = position();
+        mStartEventId = lastEventId();
         Assignment assignment = placement.assignment();
-        if (assignment.hasStartedAgain()) {
+        if (assignment.hasRestarted()) {
             mLastFailure = "the upstream has restarted";
             return AttemptOutcome.NOT_REACHED;
         }
@@ -167,25 +167,25 @@
         UpstreamCall upstreamCall =
                 new UpstreamCall(
                         assignment.id(),
-                        left(),
+                        timeLeft(),
                         Phase.COMPLETE,
                         cache,
                         placement.reservation(),
-                        mFromPosition);
+                        mStartEventId);
         HttpHead head = mContext.protocol().head(mRequest, upstreamCall);
-        mProgress.waitsFor(Activity.SENDING, assignment.id());
+        mProgress.startWaiting(Activity.SENDING, assignment.id());
         long sentNanos = mContext.clock().nanoTime();
         try (CallCancel cancel = new CallCancel(mCancel, assignment);
                 HttpCall call = open(assignment, head, cancel.signal())) {
-            mProgress.waitsFor(Activity.RESPONSE, assignment.id());
+            mProgress.startWaiting(Activity.RESPONSE, assignment.id());
             Duration silenceLimit =
                     AttemptRule.silenceLimit(
-                            history, mRoute.attemptLimits(), mRoute.target(), left());
+                            history, mRoute.attemptLimits(), mRoute.target(), timeLeft());
             ClientResponse response = call.awaitResponse(silenceLimit);
             mHasResponse = true;
             call.limitIdle(mContext.protocol().idleTimeout(response));
-            mProgress.waitsFor(Activity.BODY, assignment.id());
-            return onHead(placement, call, response, sentNanos);
+            mProgress.startWaiting(Activity.BODY, assignment.id());
+            return onResponseHead(placement, call, response, sentNanos);
         } catch (CallFailedException e) {
             return failed(assignment, e.failure());
         }
@@ -197,14 +197,14 @@
         byte[] body = mRequest.body();
         return body.length == 0
                 ? connections.call(assignment.peer(), Step.FORWARD, head, cancel)
-                : connections.call(assignment.peer(), Step.FORWARD, head, body, left(), cancel);
+                : connections.call(assignment.peer(), Step.FORWARD, head, body, timeLeft(), cancel);
     }
 
-    private Duration left() {
-        return mRequest.left(mContext.clock().nanoTime());
+    private Duration timeLeft() {
+        return mRequest.timeLeft(mContext.clock().nanoTime());
     }
 
-    private AttemptOutcome onHead(
+    private AttemptOutcome onResponseHead(
             Placement placement, HttpCall call, ClientResponse response, long sentNanos)
             throws CallFailedException, IOException, TimeoutException, InterruptedException {
         Assignment assignment = placement.assignment();
@@ -212,7 +212,7 @@
             case NOT_RUN -> {
                 mContext.responded(assignment, response, sentNanos);
                 if (placement.reservation().isPresent()) {
-                    mContext.refusedDespiteRoom(assignment);
+                    mContext.refusedDespiteReservation(assignment);
                 } else {
                     mContext.refused(assignment);
                 }
@@ -254,13 +254,13 @@
     private AttemptOutcome failed(Assignment assignment, Failure failure) {
         mLastFailure = failure.describe();
         mContext.callFailed(assignment, failure, mCancel);
-        mCrashReporter.failed(assignment, failure, mFromPosition, position());
+        mCrashReporter.failed(assignment, failure, mStartEventId, lastEventId());
         return failure.mayHaveRun() ? AttemptOutcome.MAY_HAVE_RUN : AttemptOutcome.NOT_REACHED;
     }
 
     /** Returns the id of the last event forwarded to the caller; 0 for none. */
-    private long position() {
-        return mStream.map(StreamForward::last).orElse(0L);
+    private long lastEventId() {
+        return mStream.map(StreamForward::lastEventId).orElse(0L);
     }
 
     private AttemptOutcome onResponse(Placement placement, HttpCall call, ClientResponse response)
@@ -270,20 +270,20 @@
         if (mRoute.kind() == RequestKind.STREAM && HttpStatus.isSuccess(status)) {
             return onStream(placement, call, status, headers);
         }
-        byte[] body = call.readAll(left(), MAX_RESPONSE_BYTES);
+        byte[] body = call.readAll(timeLeft(), MAX_RESPONSE_BYTES);
         if (HttpStatus.isServerError(status)) {
             mContext.upstreams().failed(placement.assignment());
             mLastFailure = "status " + status;
-            mHeld = Optional.of(new HeldResponse(status, headers, body));
+            mFallback = Optional.of(new FallbackResponse(status, headers, body));
             return AttemptOutcome.MAY_HAVE_RUN;
         }
         mCrashReporter.survived();
         mContext.upstreams().succeeded(placement.assignment());
-        if (begunStream().isPresent()) {
+        if (startedStream().isPresent()) {
             mLastFailure = "status " + status + " instead of the rest of the stream";
             return AttemptOutcome.MAY_HAVE_RUN;
         }
-        noteFirstResponse();
+        recordFirstResponse();
         mCaller.whole(status, headers, body);
         return AttemptOutcome.ENDED;
     }
@@ -293,17 +293,17 @@
             throws CallFailedException, IOException, TimeoutException, InterruptedException {
         StreamForward stream = mStream.orElseGet(() -> new StreamForward(mCaller));
         mStream = Optional.of(stream);
-        stream.upstreamBegins(status, headers);
-        long before = stream.last();
+        stream.beginUpstream(status, headers);
+        long before = stream.lastEventId();
         StreamTiming timing = forward(placement, call, stream);
-        if (!stream.isBetweenEvents()) {
+        if (!stream.isAtEventBoundary()) {
             mContext.upstreams().failed(placement.assignment());
             mLastFailure = "the stream ended with an incomplete event";
             return AttemptOutcome.MAY_HAVE_RUN;
         }
         mCrashReporter.survived();
         stream.end();
-        mTracker.ifPresent(tracker -> tracker.observe(stream.last() - before, timing));
+        mTracker.ifPresent(tracker -> tracker.observe(stream.lastEventId() - before, timing));
         logStream(placement, stream, timing);
         return AttemptOutcome.ENDED;
     }
@@ -312,14 +312,14 @@
     private StreamTiming forward(Placement placement, HttpCall call, StreamForward stream)
             throws CallFailedException, IOException, TimeoutException, InterruptedException {
         Assignment assignment = placement.assignment();
-        long before = stream.last();
+        long before = stream.lastEventId();
         StreamTiming timing = new StreamTiming(mContext.clock(), mArrivedNanos);
         mTiming = Optional.of(timing);
-        for (byte[] part = call.read(left()); part != null; part = call.read(left())) {
+        for (byte[] part = call.read(timeLeft()); part != null; part = call.read(timeLeft())) {
             boolean first = timing.part();
-            noteFirstResponse();
+            recordFirstResponse();
             stream.part(part);
-            mTracker.ifPresent(tracker -> tracker.generated(stream.last() - before));
+            mTracker.ifPresent(tracker -> tracker.generated(stream.lastEventId() - before));
             if (first) {
                 mContext.upstreams().release(assignment);
                 mTracker.ifPresent(tracker -> tracker.observeFirst(placement));
@@ -337,7 +337,7 @@
                 mRequest.id(),
                 timing.firstMillis(),
                 timing.longestPauseMillis(),
-                stream.last(),
+                stream.lastEventId(),
                 placement.assignment().id(),
                 timing.durationMillis(),
                 mRequest.prompt());
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/CallCancel.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/CallCancel.java
@@ -16,8 +16,8 @@
  */
 final class CallCancel implements AutoCloseable {
     private final CancelSignal mSignal = new CancelSignal();
-    private final CancelSignal.Registration mOfRequest;
-    private final CancelSignal.Registration mOfUpstream;
+    private final CancelSignal.Registration mRequestRegistration;
+    private final CancelSignal.Registration mRestartRegistration;
 
     /**
      * Registers with the signals of the request and of the upstream.
@@ -26,11 +26,11 @@
      * @param assignment the work that the call is for
      */
     CallCancel(CancelSignal request, Assignment assignment) {
-        mOfRequest = follow(request);
-        mOfUpstream = follow(assignment.end());
+        mRequestRegistration = cancelWith(request);
+        mRestartRegistration = cancelWith(assignment.restartSignal());
     }
 
-    private CancelSignal.Registration follow(CancelSignal other) {
+    private CancelSignal.Registration cancelWith(CancelSignal other) {
         return other.onCancel(() -> mSignal.cancel(other.reason()));
     }
 
@@ -41,7 +41,7 @@
 
     @Override
     public void close() {
-        mOfRequest.close();
-        mOfUpstream.close();
+        mRequestRegistration.close();
+        mRestartRegistration.close();
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/CrashReporter.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/CrashReporter.java
@@ -73,42 +73,49 @@
      *
      * @param assignment the work that the call was for
      * @param failure how it failed
-     * @param from the id of the last event that the caller had when the call began; 0 for none
-     * @param at the id of the last event that the caller has now; 0 for none
+     * @param fromEventId the id of the last event that the caller had when the call began; 0 for
+     *     none
+     * @param toEventId the id of the last event that the caller has now; 0 for none
      */
-    void failed(Assignment assignment, Failure failure, long from, long at) {
+    void failed(Assignment assignment, Failure failure, long fromEventId, long toEventId) {
         if (mCancel.reason() == CancelSignal.Reason.CALLER_GONE && failure.mayHaveRun()) {
             mGuard.abandoned(
-                    assignment.peer(), () -> mContext.upstreams().isLeaving(assignment), from, at);
+                    assignment.peer(),
+                    () -> mContext.upstreams().isLeaving(assignment),
+                    fromEventId,
+                    toEventId);
             return;
         }
         if (mCancel.isCancelled() || !CrashReports.mayBeCrash(failure)) {
             return;
         }
         if (failure instanceof Failure.Broken) {
-            logBrokenOff(assignment, failure, from, at);
+            logConnectionBroken(assignment, failure, fromEventId, toEventId);
         }
         if (mContext.upstreams().isLeaving(assignment)) {
             return;
         }
         if (mContext.upstreams().hasEnded(assignment)) {
-            mGuard.crashed(from, at);
+            mGuard.crashed(fromEventId, toEventId);
         } else {
-            mGuard.failed(failure, assignment.incarnation(), assignment.peer(), from, at);
+            mGuard.failed(
+                    failure, assignment.incarnation(), assignment.peer(), fromEventId, toEventId);
         }
     }
 
-    private void logBrokenOff(Assignment assignment, Failure failure, long from, long at) {
-        double heldMillis = Millis.ofNanos(mContext.clock().nanoTime() - assignment.sinceNanos());
+    private void logConnectionBroken(
+            Assignment assignment, Failure failure, long fromEventId, long toEventId) {
+        double elapsedMillis =
+                Millis.ofNanos(mContext.clock().nanoTime() - assignment.assignedNanos());
         LOG.info(
                 "%s: connection broken: %s; fingerprint %s, %.0f ms after placement, from event %d"
                         + " to %d, sequences in flight at the upstream: %s",
                 mRequest.id(),
                 failure.describe(),
                 mGuard.fingerprint(),
-                heldMillis,
-                from,
-                at,
+                elapsedMillis,
+                fromEventId,
+                toEventId,
                 mContext.loads().sequencesAt(assignment.id()));
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/EndClassifier.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/EndClassifier.java
@@ -41,7 +41,7 @@
      * @param isClientRetry whether the caller repeats a request that was refused before
      * @param isTooLarge whether the request exceeds the memory of an engine
      * @param lacksPrefill whether memory was available, but no engine that could prefill in time
-     * @param isPaced whether every upstream was at its stated limit or had asked for a pause
+     * @param isThrottled whether every upstream was at its stated limit or had asked for a pause
      * @param route the route of the request
      * @param first the time to the first part of a response, if any came
      * @param longestPause the longest gap between two parts of the stream
@@ -53,7 +53,7 @@
             boolean isClientRetry,
             boolean isTooLarge,
             boolean lacksPrefill,
-            boolean isPaced,
+            boolean isThrottled,
             Route route,
             Optional<Duration> first,
             Duration longestPause,
@@ -96,8 +96,8 @@
         if (first.compareTo(facts.route().target()) > 0) {
             return late(first, facts.progress());
         }
-        Duration harmless = facts.route().longestPause();
-        boolean paused = harmless.isPositive() && facts.longestPause().compareTo(harmless) > 0;
+        Duration maxPause = facts.route().longestPause();
+        boolean paused = maxPause.isPositive() && facts.longestPause().compareTo(maxPause) > 0;
         return paused ? RequestEnd.LATE_BY_PAUSE : RequestEnd.IN_TIME;
     }
 
@@ -120,7 +120,7 @@
                     ? RequestEnd.TIMED_OUT
                     : RequestEnd.FAILED;
         }
-        if (facts.isPaced()) {
+        if (facts.isThrottled()) {
             return RequestEnd.REFUSED_UPSTREAM_LIMIT;
         }
         if (history.attempts() > 0) {
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/EnginePlacer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/EnginePlacer.java
@@ -39,10 +39,10 @@
      * Interval between two searches for capacity; other instances refresh their announcements
      * several times within it.
      */
-    private static final Duration POLL = Duration.ofMillis(45);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(45);
 
     /** Time in which an announcement reaches all instances, with a small margin. */
-    private static final Duration ANNOUNCED_AFTER = Duration.ofMillis(30);
+    private static final Duration ANNOUNCEMENT_DELAY = Duration.ofMillis(30);
 
     private final RelayContext mContext;
     private final RelayRequest mRequest;
@@ -50,17 +50,17 @@
     private final Service mService;
     private final CancelSignal mCancel;
     private final RequestProgress mProgress;
-    private final OutputLengthEstimator.Stated mStated;
+    private final OutputLengthEstimator.Stated mStatedLengths;
     private final InFlightSequence mOutput;
     private final Duration mNewRequestWait;
-    private Duration mLongestWait;
+    private Duration mMaxWait;
     private final SequenceTracker mTracker;
     private final Prefiller mPrefiller;
     private final MemoryReservations mReservations;
     private final boolean mIsClientRetry;
     private boolean mLacksPrefill;
     private boolean mIsTooLarge;
-    private boolean mIsPaced;
+    private boolean mIsThrottled;
 
     EnginePlacer(
             RelayContext context,
@@ -77,21 +77,21 @@
         mService = service;
         mCancel = cancel;
         mProgress = progress;
-        mStated =
+        mStatedLengths =
                 new OutputLengthEstimator.Stated(
                         prompt.expectedOutputTokens(), prompt.maxOutputTokens());
-        context.outputLengths().observe(mStated);
+        context.outputLengths().observe(mStatedLengths);
         mOutput =
                 InFlightSequence.ofOutput(
                         request.id(),
                         prompt.tokens(),
-                        context.outputLengths().expect(mStated),
+                        context.outputLengths().expect(mStatedLengths),
                         prompt.maxOutputTokens() > 0
                                 ? prompt.maxOutputTokens()
                                 : Integer.MAX_VALUE);
         mIsClientRetry = isClientRetry;
         mNewRequestWait = newRequestWait();
-        mLongestWait =
+        mMaxWait =
                 isClientRetry
                         ? MemoryWaitRule.forClientRetry(request.route().target())
                         : mNewRequestWait;
@@ -135,18 +135,18 @@
         if (mIsTooLarge) {
             return Optional.empty();
         }
-        long untilNanos = mContext.clock().nanoTime() + mLongestWait.toNanos();
+        long untilNanos = mContext.clock().nanoTime() + mMaxWait.toNanos();
         while (!mCancel.isCancelled()) {
-            Optional<Placement> placement = placeByChoice(tried);
-            mIsPaced = placement.isEmpty() && areAllPassedOver();
+            Optional<Placement> placement = tryPlace(tried);
+            mIsThrottled = placement.isEmpty() && areAllThrottled();
             long nowNanos = mContext.clock().nanoTime();
             if (placement.isPresent()) {
                 // Further attempts wait only as long as a new request; otherwise the waits of a
                 // client retry would add up to more than its caller waits for the first part.
-                mLongestWait = mNewRequestWait;
+                mMaxWait = mNewRequestWait;
                 return placement;
             }
-            if (noneTakesWorkBefore(untilNanos - nowNanos)) {
+            if (isNoneAvailableWithin(untilNanos - nowNanos)) {
                 return Optional.empty();
             }
             if (nowNanos - untilNanos > 0) {
@@ -154,8 +154,8 @@
                 logNoPlace();
                 return Optional.empty();
             }
-            mProgress.waitsFor(Activity.PLACEMENT);
-            mCancel.await(POLL);
+            mProgress.startWaiting(Activity.PLACEMENT);
+            mCancel.await(POLL_INTERVAL);
         }
         return Optional.empty();
     }
@@ -168,36 +168,36 @@
         return mIsTooLarge;
     }
 
-    private boolean areAllPassedOver() {
-        Set<String> passedOver = mContext.pace().passedOver();
-        return mContext.areAllPassedOver(mService.name(), Stage.DECODE, passedOver);
+    private boolean areAllThrottled() {
+        Set<String> throttled = mContext.pace().passedOver();
+        return mContext.areAllThrottled(mService.name(), Stage.DECODE, throttled);
     }
 
     /**
      * Returns whether waiting is useless: there is no engine, or none accepts work before the wait
      * ends.
      */
-    private boolean noneTakesWorkBefore(long waitNanos) {
-        List<Incarnation> engines = mContext.upstreams().takingWork(mService.name(), Stage.DECODE);
+    private boolean isNoneAvailableWithin(long waitNanos) {
+        List<Incarnation> engines = mContext.upstreams().available(mService.name(), Stage.DECODE);
         return engines.isEmpty()
-                || mIsPaced && mContext.pace().untilAnyTakesWork(engines).toNanos() > waitNanos;
+                || mIsThrottled && mContext.pace().untilAnyTakesWork(engines).toNanos() > waitNanos;
     }
 
     /**
      * Returns whether the last search found every engine at its stated limit or in a pause that it
      * has asked for.
      */
-    boolean isPaced() {
-        return mIsPaced;
+    boolean isThrottled() {
+        return mIsThrottled;
     }
 
     private boolean canEverFit() {
         return mService.engine()
-                .map(engine -> MemoryRule.canEverFit(atBegin(), engine.memoryTokens()))
+                .map(engine -> MemoryRule.canEverFit(initialForecast(), engine.memoryTokens()))
                 .orElse(true);
     }
 
-    private MemoryForecast.Sequence atBegin() {
+    private MemoryForecast.Sequence initialForecast() {
         return mOutput.forecastInput(0);
     }
 
@@ -211,25 +211,25 @@
                 "%s: no decode engine for %d tokens within %d ms; prefill %s, no capacity at %s",
                 mRequest.id(),
                 reservedTokens(),
-                mLongestWait.toMillis(),
+                mMaxWait.toMillis(),
                 mPrefiller.choice(),
                 saturatedEngines());
     }
 
-    private Optional<Placement> placeByChoice(Set<Incarnation> tried) throws InterruptedException {
+    private Optional<Placement> tryPlace(Set<Incarnation> tried) throws InterruptedException {
         PrefillRule.Choice choice = mPrefiller.choice();
         if (choice != PrefillRule.Choice.UNSPLIT_IF_IDLE_ELSE_SPLIT) {
-            return placeNow(tried, choice);
+            return tryEngines(tried, choice);
         }
-        Optional<Placement> idle = placeNow(tried, PrefillRule.Choice.UNSPLIT_IF_IDLE);
-        return idle.isPresent() ? idle : placeNow(tried, PrefillRule.Choice.SPLIT);
+        Optional<Placement> idle = tryEngines(tried, PrefillRule.Choice.UNSPLIT_IF_IDLE);
+        return idle.isPresent() ? idle : tryEngines(tried, PrefillRule.Choice.SPLIT);
     }
 
     /**
      * Asks engines in turn, each once. An engine that was tried before is asked only if there is no
      * other.
      */
-    private Optional<Placement> placeNow(Set<Incarnation> tried, PrefillRule.Choice choice)
+    private Optional<Placement> tryEngines(Set<Incarnation> tried, PrefillRule.Choice choice)
             throws InterruptedException {
         Set<String> excluded = excluded(choice);
         Set<Incarnation> refused = new HashSet<>(tried);
@@ -252,7 +252,7 @@
 
     private Optional<Placement> placeAt(Assignment assignment, PrefillRule.Choice choice)
             throws InterruptedException {
-        Optional<SendPermit> permit = mContext.mayBeSent(assignment, mRequest);
+        Optional<SendPermit> permit = mContext.acquirePermit(assignment, mRequest);
         if (permit.isEmpty()) {
             return Optional.empty();
         }
@@ -261,7 +261,7 @@
             return Optional.empty();
         }
         Placement placement = announce(assignment, reservation, permit.get(), choice);
-        if (keepsPlace(placement)) {
+        if (confirmPlacement(placement)) {
             return Optional.of(placement);
         }
         mTracker.end(placement);
@@ -298,7 +298,8 @@
         excluded.addAll(mContext.pace().passedOver());
         if (choice == PrefillRule.Choice.UNSPLIT_IF_IDLE) {
             excluded.addAll(
-                    mContext.upstreams().unfit(mService.name(), Stage.DECODE, this::isNearlyIdle));
+                    mContext.upstreams()
+                            .idsNotMatching(mService.name(), Stage.DECODE, this::isNearlyIdle));
         }
         return excluded;
     }
@@ -316,7 +317,7 @@
     }
 
     private long availableTokens(long memoryTokens) {
-        return MemoryRule.availableTokens(atBegin(), mIsClientRetry, memoryTokens);
+        return MemoryRule.availableTokens(initialForecast(), mIsClientRetry, memoryTokens);
     }
 
     private boolean isNearlyIdle(String upstreamId) {
@@ -331,7 +332,7 @@
      * Checks a placement again once all instances have received its announcement. The wait is
      * skipped if the engine has ample free memory.
      */
-    private boolean keepsPlace(Placement placement) throws InterruptedException {
+    private boolean confirmPlacement(Placement placement) throws InterruptedException {
         if (mService.engine().isEmpty()) {
             return true;
         }
@@ -341,8 +342,8 @@
         if (!mContext.loads().saturatedEngines(mOutput, roomyTokens, pace()).contains(engine)) {
             return true;
         }
-        mProgress.waitsFor(Activity.PLACEMENT, engine);
-        return !mCancel.await(ANNOUNCED_AFTER)
+        mProgress.startWaiting(Activity.PLACEMENT, engine);
+        return !mCancel.await(ANNOUNCEMENT_DELAY)
                 && mContext.loads()
                         .keepsPlace(placement.output().orElseThrow(), memoryTokens, pace());
     }
@@ -351,7 +352,7 @@
         return MemoryRule.reservedTokens(
                 mPrompt.tokens(),
                 mOutput.maxOutputTokens(),
-                mContext.outputLengths().reserve(mStated),
+                mContext.outputLengths().reserve(mStatedLengths),
                 mContext.announcer().isComplete());
     }
 
@@ -363,7 +364,7 @@
                 UpstreamCost.OTHER_ZONE_ENGINE_MILLIS,
                 mayTakeTried,
                 excluded,
-                mContext.mostAtOnce(mService),
+                mContext.maxAssignments(mService),
                 this::backlogMillis);
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/EventFramer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/EventFramer.java
@@ -26,16 +26,16 @@
     private final ByteArrayOutputStream mEvent = new ByteArrayOutputStream();
     private final ByteArrayOutputStream mLine = new ByteArrayOutputStream();
     private long mId;
-    private boolean mIsNumbered;
+    private boolean mHasId;
 
     /**
      * A complete event.
      *
      * @param bytes the bytes of the event, including the empty line that ends it
      * @param id the id of the event, or that of the previous event if it has none
-     * @param isNumbered whether the event has an id of its own
+     * @param hasId whether the event has an id of its own
      */
-    record Event(byte[] bytes, long id, boolean isNumbered) {}
+    record Event(byte[] bytes, long id, boolean hasId) {}
 
     /** Feeds bytes and returns the events that they complete. */
     List<Event> feed(byte[] part) {
@@ -53,9 +53,9 @@
             if (line.startsWith(ID)) {
                 readId(line.substring(ID.length()).strip());
             } else if (line.isEmpty()) {
-                events.add(new Event(mEvent.toByteArray(), mId, mIsNumbered));
+                events.add(new Event(mEvent.toByteArray(), mId, mHasId));
                 mEvent.reset();
-                mIsNumbered = false;
+                mHasId = false;
             }
         }
         return events;
@@ -64,7 +64,7 @@
     private void readId(String text) {
         try {
             mId = Long.parseLong(text);
-            mIsNumbered = true;
+            mHasId = true;
         } catch (NumberFormatException ignored) {
             // A stream cannot be resumed at an id that is not a number, so the previous id is kept.
             // Not logged: this may happen with every event, and the caller receives the event
@@ -73,12 +73,12 @@
     }
 
     /** Returns whether the bytes fed so far end with a complete event. */
-    boolean isBetweenEvents() {
+    boolean isAtEventBoundary() {
         return mEvent.size() == 0;
     }
 
     /** Returns whether the current event exceeds the size limit. */
-    boolean isOverfull() {
+    boolean isOversized() {
         return mEvent.size() > MAX_EVENT_BYTES;
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/MemoryReservations.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/MemoryReservations.java
@@ -24,13 +24,13 @@
     /**
      * Time for which an engine keeps reserved memory that is not used; longer than a prefill takes.
      */
-    private static final Duration LIFE = Duration.ofMillis(1_800);
+    private static final Duration RESERVATION_TTL = Duration.ofMillis(1_800);
 
     /**
      * Timeout of a reservation call. Engines answer these at once, so one that does not is given
      * up.
      */
-    private static final Duration TIMEOUT = Duration.ofMillis(300);
+    private static final Duration CALL_TIMEOUT = Duration.ofMillis(300);
 
     private final RelayContext mContext;
     private final String mRequestId;
@@ -60,15 +60,16 @@
         }
         UpstreamProtocol protocol = mContext.protocol();
         HttpHead head = protocol.reserve(assignment.id());
-        byte[] body = protocol.reservation(tokens, LIFE);
-        mProgress.waitsFor(Activity.RESERVATION, assignment.id());
+        byte[] body = protocol.reservation(tokens, RESERVATION_TTL);
+        mProgress.startWaiting(Activity.RESERVATION, assignment.id());
         long sentNanos = mContext.clock().nanoTime();
         try (HttpCall call =
-                mContext.connections().call(assignment.peer(), Step.ADMIT, head, body, TIMEOUT)) {
-            ClientResponse response = call.awaitResponse(TIMEOUT);
+                mContext.connections()
+                        .call(assignment.peer(), Step.ADMIT, head, body, CALL_TIMEOUT)) {
+            ClientResponse response = call.awaitResponse(CALL_TIMEOUT);
             call.limitIdle(protocol.idleTimeout(response));
             mContext.respondedToCall(assignment, response, sentNanos);
-            byte[] answer = call.readAll(TIMEOUT, RelayContext.MAX_CONTROL_BYTES);
+            byte[] answer = call.readAll(CALL_TIMEOUT, RelayContext.MAX_CONTROL_BYTES);
             if (!HttpStatus.isOk(response.getResponseCode())) {
                 LOG.debug(
                         "%s: memory for %d tokens not reserved at %s: status %d",
@@ -92,7 +93,7 @@
      * the reservation is lost and its id may now be that of another one, so nothing is sent.
      */
     void release(Placement placement) {
-        if (placement.assignment().hasStartedAgain()) {
+        if (placement.assignment().hasRestarted()) {
             return;
         }
         placement
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Prefiller.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Prefiller.java
@@ -45,7 +45,7 @@
      * Time within which an unused KV cache is used by another attempt; half of the 500 ms for which
      * engines keep it.
      */
-    private static final Duration REUSE_WITHIN = Duration.ofMillis(250);
+    private static final Duration REUSE_WINDOW = Duration.ofMillis(250);
 
     /** Maximum number of engines asked in turn, so that one silent engine costs only one wait. */
     private static final int MAX_ENGINES = 2;
@@ -67,8 +67,8 @@
     private final long mArrivedNanos;
     private int mCalls;
     private int mCacheRefusals;
-    private Optional<Assignment> mPrefilledAt = Optional.empty();
-    private Optional<KvCacheRef> mUnused = Optional.empty();
+    private Optional<Assignment> mPrefillAssignment = Optional.empty();
+    private Optional<KvCacheRef> mUnusedCache = Optional.empty();
     private long mPrefilledNanos;
     private int mPrefilledTokens;
 
@@ -119,7 +119,7 @@
                 UpstreamCost.OTHER_ZONE_ENGINE_MILLIS,
                 false,
                 mContext.pace().passedOver(),
-                mContext.mostAtOnce(mService),
+                mContext.maxAssignments(mService),
                 this::backlogMillis);
     }
 
@@ -141,30 +141,30 @@
      * @throws InterruptedException if the thread is interrupted
      */
     Optional<KvCacheRef> prefill() throws InterruptedException {
-        forgetIfLost();
-        boolean fresh = mContext.clock().nanoTime() - mPrefilledNanos < REUSE_WITHIN.toNanos();
-        if (mUnused.isPresent() && fresh) {
-            return mUnused;
+        discardIfRestarted();
+        boolean fresh = mContext.clock().nanoTime() - mPrefilledNanos < REUSE_WINDOW.toNanos();
+        if (mUnusedCache.isPresent() && fresh) {
+            return mUnusedCache;
         }
-        freeUnused();
+        freeUnusedCache();
         Set<Incarnation> asked = new HashSet<>();
-        while (mUnused.isEmpty() && mayAsk(asked.size())) {
+        while (mUnusedCache.isEmpty() && mayAsk(asked.size())) {
             Optional<Assignment> assignment = mContext.upstreams().assign(need(), asked);
             if (assignment.isEmpty()) {
                 break;
             }
             asked.add(assignment.get().incarnation());
-            if (mContext.mayBeSent(assignment.get(), mRequest).isPresent()) {
-                mUnused = prefillAt(assignment.get());
-                forgetIfLost();
+            if (mContext.acquirePermit(assignment.get(), mRequest).isPresent()) {
+                mUnusedCache = prefillAt(assignment.get());
+                discardIfRestarted();
             }
         }
-        return mUnused;
+        return mUnusedCache;
     }
 
-    private void forgetIfLost() {
-        if (mPrefilledAt.filter(Assignment::hasStartedAgain).isPresent()) {
-            mUnused = Optional.empty();
+    private void discardIfRestarted() {
+        if (mPrefillAssignment.filter(Assignment::hasRestarted).isPresent()) {
+            mUnusedCache = Optional.empty();
         }
     }
 
@@ -186,11 +186,11 @@
             mPrefilledNanos = mContext.clock().nanoTime();
             if (cache.isPresent()) {
                 mPrefilledTokens += mPrompt.tokens();
-                long tookNanos = mPrefilledNanos - assignment.sinceNanos();
+                long tookNanos = mPrefilledNanos - assignment.assignedNanos();
                 mContext.enginePace(mService.name())
                         .observePrefill(queueTokens, Millis.ofNanos(tookNanos));
             }
-            mPrefilledAt = Optional.of(assignment);
+            mPrefillAssignment = Optional.of(assignment);
             return cache;
         } finally {
             mTracker.end(sequence);
@@ -203,13 +203,13 @@
         UpstreamCall prefill =
                 new UpstreamCall(
                         assignment.id(),
-                        left(),
+                        timeLeft(),
                         Phase.PREFILL,
                         Optional.empty(),
                         Optional.empty(),
                         0);
         HttpHead head = protocol.head(mRequest, prefill);
-        mProgress.waitsFor(Activity.PREFILL, assignment.id());
+        mProgress.startWaiting(Activity.PREFILL, assignment.id());
         long sentNanos = mContext.clock().nanoTime();
         try (CallCancel cancel = new CallCancel(mCancel, assignment);
                 HttpCall call =
@@ -219,12 +219,12 @@
                                         Step.PREFILL,
                                         head,
                                         mRequest.body(),
-                                        left(),
+                                        timeLeft(),
                                         cancel.signal())) {
             ClientResponse response = call.awaitResponse(silenceLimit(assignment));
             call.limitIdle(protocol.idleTimeout(response));
             mContext.responded(assignment, response, sentNanos);
-            return onHead(assignment, call, response);
+            return onResponseHead(assignment, call, response);
         } catch (CallFailedException e) {
             mContext.callFailed(assignment, e.failure(), mCancel);
             mCrashReporter.failed(assignment, e.failure(), 0, 0);
@@ -237,7 +237,7 @@
         return Optional.empty();
     }
 
-    private Optional<KvCacheRef> onHead(
+    private Optional<KvCacheRef> onResponseHead(
             Assignment assignment, HttpCall call, ClientResponse response)
             throws CallFailedException, IOException {
         byte[] body = call.readAll(BODY_TIMEOUT, RelayContext.MAX_CONTROL_BYTES);
@@ -253,13 +253,13 @@
         return Optional.of(new KvCacheRef(address, mContext.protocol().handle(body)));
     }
 
-    private Duration left() {
-        return mRequest.left(mContext.clock().nanoTime());
+    private Duration timeLeft() {
+        return mRequest.timeLeft(mContext.clock().nanoTime());
     }
 
     private Duration silenceLimit(Assignment assignment) {
         return PrefillTimeoutRule.silenceLimit(
-                assignment.ordinaryMillis(), mRequest.route().target(), left());
+                assignment.ordinaryMillis(), mRequest.route().target(), timeLeft());
     }
 
     /** Returns the tokens that prefill engines have prefilled for the request. */
@@ -268,14 +268,14 @@
     }
 
     /** Frees a KV cache that no decode engine has taken. */
-    void freeUnused() {
-        forgetIfLost();
-        mUnused.ifPresent(
+    void freeUnusedCache() {
+        discardIfRestarted();
+        mUnusedCache.ifPresent(
                 cache ->
                         mContext.release(
-                                mPrefilledAt.orElseThrow(),
+                                mPrefillAssignment.orElseThrow(),
                                 mContext.protocol().freeHandle(cache.handle())));
-        mUnused = Optional.empty();
+        mUnusedCache = Optional.empty();
     }
 
     /**
@@ -287,24 +287,24 @@
      * known reason and does not count.
      */
     void cacheRefused() {
-        forgetIfLost();
-        if (mUnused.isEmpty()) {
+        discardIfRestarted();
+        if (mUnusedCache.isEmpty()) {
             return;
         }
         mCacheRefusals++;
         if (mCacheRefusals >= MAX_CACHE_REFUSALS) {
-            mPrefilledAt.ifPresent(mContext.upstreams()::failed);
-            freeUnused();
+            mPrefillAssignment.ifPresent(mContext.upstreams()::failed);
+            freeUnusedCache();
         }
     }
 
     /**
      * Records that a decode engine has taken the KV cache, which shows that the prefill succeeded.
      */
-    void used() {
-        if (mUnused.isPresent()) {
-            mPrefilledAt.ifPresent(mContext.upstreams()::proved);
+    void cacheUsed() {
+        if (mUnusedCache.isPresent()) {
+            mPrefillAssignment.ifPresent(mContext.upstreams()::confirmed);
         }
-        mUnused = Optional.empty();
+        mUnusedCache = Optional.empty();
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Relay.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Relay.java
@@ -66,7 +66,7 @@
                         connections,
                         protocol,
                         clock);
-        upstreams.observe(
+        upstreams.setObserver(
                 registration -> {
                     crashes.registered(registration);
                     pace.registered(registration);
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RelayContext.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RelayContext.java
@@ -116,7 +116,7 @@
         }
         pace.observe(assignment.incarnation(), statement.get(), hasServed, sentNanos);
         if (statement.get().isLeaving()) {
-            upstreams.leaves(assignment);
+            upstreams.markLeaving(assignment);
         }
     }
 
@@ -125,9 +125,9 @@
      * service. Each assignment uses one connection, and the upstream counts the connections of all
      * instances.
      */
-    int mostAtOnce(Service service) {
+    int maxAssignments(Service service) {
         return service.maxConnections().isEmpty()
-                ? UpstreamDirectory.Need.ANY_NUMBER
+                ? UpstreamDirectory.Need.UNLIMITED
                 : pace.equalPart(service.maxConnections().getAsInt());
     }
 
@@ -137,7 +137,7 @@
      * @return the permit; empty if the upstream accepts no more requests, in which case the
      *     assignment is released
      */
-    Optional<SendPermit> mayBeSent(Assignment assignment, RelayRequest request)
+    Optional<SendPermit> acquirePermit(Assignment assignment, RelayRequest request)
             throws InterruptedException {
         SendPermit permit = pace.take(assignment.incarnation(), request.route().target());
         if (permit.isGranted()) {
@@ -161,9 +161,9 @@
      * Records the refusal of a request for which memory was reserved, by the same rule as {@link
      * #refused}.
      */
-    void refusedDespiteRoom(Assignment assignment) {
+    void refusedDespiteReservation(Assignment assignment) {
         if (!pace.refusedBy(assignment.incarnation())) {
-            upstreams.refusedDespiteRoom(assignment);
+            upstreams.refusedDespiteReservation(assignment);
         }
     }
 
@@ -171,15 +171,15 @@
      * Returns whether a service has available upstreams and all of them are throttled, that is, at
      * their stated limit or in a pause that they have asked for.
      *
-     * @param passedOver the ids of the throttled upstreams of all services
+     * @param throttled the ids of the throttled upstreams of all services
      */
-    boolean areAllPassedOver(String service, Stage stage, Set<String> passedOver) {
-        if (passedOver.isEmpty()) {
+    boolean areAllThrottled(String service, Stage stage, Set<String> throttled) {
+        if (throttled.isEmpty()) {
             return false;
         }
-        List<Incarnation> upstreamsOfIt = upstreams.takingWork(service, stage);
-        return !upstreamsOfIt.isEmpty()
-                && upstreamsOfIt.stream().allMatch(upstream -> passedOver.contains(upstream.id()));
+        List<Incarnation> available = upstreams.available(service, stage);
+        return !available.isEmpty()
+                && available.stream().allMatch(upstream -> throttled.contains(upstream.id()));
     }
 
     /**
@@ -192,10 +192,10 @@
             pace.heldBack();
             return;
         }
-        Thread.ofVirtual().name("release").start(() -> callToRelease(assignment, head));
+        Thread.ofVirtual().name("release").start(() -> sendRelease(assignment, head));
     }
 
-    private void callToRelease(Assignment assignment, HttpHead head) {
+    private void sendRelease(Assignment assignment, HttpHead head) {
         long sentNanos = clock.nanoTime();
         try (HttpCall call = connections.call(assignment.peer(), Step.CANCEL, head)) {
             ClientResponse response = call.awaitResponse(RELEASE_TIMEOUT);
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RelayRequest.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RelayRequest.java
@@ -57,7 +57,7 @@
      * @param nowNanos the current monotonic time
      * @return at least 1 ns, so that it can serve as a timeout
      */
-    Duration left(long nowNanos) {
+    Duration timeLeft(long nowNanos) {
         return Duration.ofNanos(Math.max(1, endNanos - nowNanos));
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RequestProgress.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RequestProgress.java
@@ -60,12 +60,12 @@
     }
 
     /** Records that the request now waits for an activity that involves no upstream. */
-    void waitsFor(Activity activity) {
-        waitsFor(activity, NO_UPSTREAM);
+    void startWaiting(Activity activity) {
+        startWaiting(activity, NO_UPSTREAM);
     }
 
     /** Records that the request now waits for an upstream. */
-    void waitsFor(Activity activity, String upstreamId) {
+    void startWaiting(Activity activity, String upstreamId) {
         long nowNanos = mClock.nanoTime();
         addWaited(nowNanos);
         mCurrent = new Current(activity, upstreamId, nowNanos);
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RequestRelay.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RequestRelay.java
@@ -19,7 +19,7 @@
 import org.orchidmount.membership.Incarnation;
 import org.orchidmount.membership.Registration.Stage;
 import org.orchidmount.pacing.SendPermit;
-import org.orchidmount.relay.AttemptRunner.HeldResponse;
+import org.orchidmount.relay.AttemptRunner.FallbackResponse;
 import org.orchidmount.relay.EndClassifier.End;
 import org.orchidmount.relay.RequestProgress.Activity;
 import org.orchidmount.routes.Service;
@@ -59,13 +59,13 @@
     private final CrashReporter mCrashReporter;
     private final Set<Incarnation> mTried = new HashSet<>();
     private AttemptRule.History mHistory = AttemptRule.History.NONE;
-    private boolean mLastHadNoRoom;
+    private boolean mLastRefused;
 
     /**
      * Whether no placement was found because every upstream is at its stated limit or has asked for
      * a pause.
      */
-    private boolean mIsPaced;
+    private boolean mIsThrottled;
 
     private final RequestReporter mReporter;
 
@@ -122,11 +122,11 @@
         try (mCrashReporter;
                 CancelSignal.Registration _ = mCancel.onCancel(mProgress::callerLeft)) {
             End end = serve();
-            mReporter.ended(end, mHistory, mIsPaced, mAttempts, mEngines);
+            mReporter.ended(end, mHistory, mIsThrottled, mAttempts, mEngines);
             boolean mayHaveRun = end == End.SERVED || mHistory.executions() > 0;
             return mayHaveRun ? Execution.MAY_HAVE_RUN : Execution.NOT_RUN;
         } catch (IOException | TimeoutException e) {
-            mReporter.ended(End.CALLER_LEFT, mHistory, mIsPaced, mAttempts, mEngines);
+            mReporter.ended(End.CALLER_LEFT, mHistory, mIsThrottled, mAttempts, mEngines);
             throw e;
         } finally {
             mProgress.ended();
@@ -138,42 +138,42 @@
         while (mayTry()) {
             Optional<Placement> placement = place();
             if (placement.isEmpty()) {
-                giveBackRetry();
+                refundRetry();
                 break;
             }
             AttemptOutcome outcome = attemptAt(placement.get());
             if (outcome == AttemptOutcome.ENDED) {
                 return End.SERVED;
             }
-            note(placement.get(), outcome);
+            recordAttempt(placement.get(), outcome);
         }
-        mEngines.ifPresent(engines -> engines.prefiller().freeUnused());
+        mEngines.ifPresent(engines -> engines.prefiller().freeUnusedCache());
         return giveUp();
     }
 
     private boolean mayTry() {
         return !mCancel.isCancelled()
                 && mIsStillAllowed.getAsBoolean()
-                && AttemptRule.mayTry(mHistory, mRequest.route().attemptLimits(), left())
+                && AttemptRule.mayTry(mHistory, mRequest.route().attemptLimits(), timeLeft())
                 && mCrashReporter.mayRun()
                 && (!AttemptRule.takesFromBudget(mHistory) || mBudget.tryTake());
     }
 
     /** Returns the retry to the budget: nothing was sent, so nothing was repeated. */
-    private void giveBackRetry() {
+    private void refundRetry() {
         if (AttemptRule.takesFromBudget(mHistory)) {
             mBudget.giveBack();
         }
     }
 
-    private Duration left() {
+    private Duration timeLeft() {
         return Duration.ofNanos(mRequest.endNanos() - mContext.clock().nanoTime());
     }
 
-    private void note(Placement placement, AttemptOutcome outcome) {
+    private void recordAttempt(Placement placement, AttemptOutcome outcome) {
         Incarnation upstream = placement.assignment().incarnation();
         mTried.add(upstream);
-        mLastHadNoRoom = outcome == AttemptOutcome.NOT_RUN;
+        mLastRefused = outcome == AttemptOutcome.NOT_RUN;
         mHistory = mHistory.after(outcome);
         LOG.debug(
                 "%s: attempt %d at %s: %s, %s",
@@ -182,7 +182,7 @@
 
     /** Finds a placement at an upstream, with memory reserved where that is needed. */
     private Optional<Placement> place() throws InterruptedException {
-        mProgress.waitsFor(Activity.PLACEMENT);
+        mProgress.startWaiting(Activity.PLACEMENT);
         if (mEngines.isPresent()) {
             return mEngines.get().place(mTried);
         }
@@ -191,31 +191,31 @@
 
     /** Tries to acquire a permit for one upstream after another, each once. */
     private Optional<Placement> placeAtPlainService() throws InterruptedException {
-        Set<String> passedOver = new HashSet<>(mContext.pace().passedOver());
-        mIsPaced = false;
+        Set<String> throttled = new HashSet<>(mContext.pace().passedOver());
+        mIsThrottled = false;
         while (true) {
-            Optional<Assignment> assignment = mContext.upstreams().assign(need(passedOver), mTried);
+            Optional<Assignment> assignment = mContext.upstreams().assign(need(throttled), mTried);
             if (assignment.isEmpty()) {
-                mIsPaced = mContext.areAllPassedOver(mService.name(), Stage.NONE, passedOver);
+                mIsThrottled = mContext.areAllThrottled(mService.name(), Stage.NONE, throttled);
                 return Optional.empty();
             }
-            Optional<SendPermit> permit = mContext.mayBeSent(assignment.get(), mRequest);
+            Optional<SendPermit> permit = mContext.acquirePermit(assignment.get(), mRequest);
             if (permit.isPresent()) {
                 return Optional.of(Placement.atPlainService(assignment.get(), permit.get()));
             }
-            passedOver.add(assignment.get().id());
+            throttled.add(assignment.get().id());
         }
     }
 
-    private UpstreamDirectory.Need need(Set<String> passedOver) {
+    private UpstreamDirectory.Need need(Set<String> throttled) {
         return new UpstreamDirectory.Need(
                 mService.name(),
                 Stage.NONE,
                 UpstreamCost.PLAIN_REQUEST_MILLIS,
                 UpstreamCost.OTHER_ZONE_PLAIN_MILLIS,
-                !mLastHadNoRoom,
-                passedOver,
-                mContext.mostAtOnce(mService),
+                !mLastRefused,
+                throttled,
+                mContext.maxAssignments(mService),
                 UpstreamDirectory.Backlog.OWN);
     }
 
@@ -231,11 +231,11 @@
                             : AttemptOutcome.NOT_REACHED;
             boolean isAnswered =
                     outcome == AttemptOutcome.ENDED || outcome == AttemptOutcome.MAY_HAVE_RUN;
-            boolean prefilledThere = cache.isEmpty() && isAnswered && mAttempts.hasResponse();
+            boolean prefilledByUpstream = cache.isEmpty() && isAnswered && mAttempts.hasResponse();
             if (outcome == AttemptOutcome.NOT_REACHED && placement.reservation().isEmpty()) {
                 mContext.pace().giveBack(placement.permit());
             }
-            mReporter.attempted(placement.assignment().id(), prefilledThere);
+            mReporter.recordAttempt(placement.assignment().id(), prefilledByUpstream);
             mEngines.ifPresent(engines -> settle(engines, placement, outcome));
             return outcome;
         } finally {
@@ -267,7 +267,7 @@
         if (untouched || abandoned) {
             engines.release(placement);
         } else {
-            engines.prefiller().used();
+            engines.prefiller().cacheUsed();
         }
     }
 
@@ -276,28 +276,28 @@
         if (mCancel.isCancelled()) {
             return End.CALLER_LEFT;
         }
-        if (mAttempts.begunStream().isPresent()) {
-            long last = mAttempts.begunStream().get().last();
+        if (mAttempts.startedStream().isPresent()) {
+            long lastEventId = mAttempts.startedStream().get().lastEventId();
             LOG.info(
                     "%s: stream aborted after event %d: %s",
-                    mRequest.id(), last, mAttempts.lastFailure());
+                    mRequest.id(), lastEventId, mAttempts.lastFailure());
             mCaller.cut();
             return End.CUT;
         }
-        if (mAttempts.held().isPresent()) {
-            HeldResponse held = mAttempts.held().get();
-            mCaller.whole(held.status(), held.headers(), held.body());
+        if (mAttempts.fallback().isPresent()) {
+            FallbackResponse fallback = mAttempts.fallback().get();
+            mCaller.whole(fallback.status(), fallback.headers(), fallback.body());
             return End.UPSTREAM_ERROR;
         }
         if (mCrashReporter.isQuarantined()) {
-            refuseForGood();
+            refuseQuarantined();
             return End.QUARANTINED;
         }
         refuse();
         return End.GIVEN_UP;
     }
 
-    private void refuseForGood() throws IOException, TimeoutException, InterruptedException {
+    private void refuseQuarantined() throws IOException, TimeoutException, InterruptedException {
         mCrashReporter.refused();
         mCaller.refuse(FinalOutcome.QUARANTINED, Duration.ZERO);
     }
@@ -306,11 +306,10 @@
      * Also checks the upstreams as they are now: a request that may not be tried again searches for
      * no placement, but is refused for the same reason.
      */
-    private boolean isPaced() {
-        return mIsPaced
-                || mEngines.map(EnginePlacer::isPaced).orElse(false)
-                || mContext.areAllPassedOver(
-                        mService.name(), stage(), mContext.pace().passedOver());
+    private boolean isThrottled() {
+        return mIsThrottled
+                || mEngines.map(EnginePlacer::isThrottled).orElse(false)
+                || mContext.areAllThrottled(mService.name(), stage(), mContext.pace().passedOver());
     }
 
     private Stage stage() {
@@ -318,14 +317,14 @@
     }
 
     private void refuse() throws IOException, TimeoutException, InterruptedException {
-        mIsPaced = isPaced();
-        FinalOutcome outcome = FinalOutcome.of(mHistory, !left().isPositive());
+        mIsThrottled = isThrottled();
+        FinalOutcome outcome = FinalOutcome.of(mHistory, !timeLeft().isPositive());
         LOG.info(
                 "%s: %s after %d attempts: %s",
                 mRequest.id(),
                 outcome,
                 mHistory.attempts(),
-                mIsPaced
+                mIsThrottled
                         ? "every upstream is at its stated limit or has asked for a pause"
                         : mAttempts.lastFailure());
         mCaller.refuse(outcome, retryAfter());
@@ -336,16 +335,16 @@
      * work, it is based on that.
      */
     private Duration retryAfter() {
-        List<Incarnation> upstreams = mContext.upstreams().takingWork(mService.name(), stage());
-        if (mIsPaced && !upstreams.isEmpty()) {
-            Duration comeBackAfter =
+        List<Incarnation> upstreams = mContext.upstreams().available(mService.name(), stage());
+        if (mIsThrottled && !upstreams.isEmpty()) {
+            Duration delay =
                     mContext.pace()
                             .comeBackAfter(
                                     mService.name(),
                                     upstreams,
                                     unlimitedPerSecond(upstreams.size()),
-                                    mRequest.left(mContext.clock().nanoTime()));
-            return RetryAfter.limit(comeBackAfter, ThreadLocalRandom.current());
+                                    mRequest.timeLeft(mContext.clock().nanoTime()));
+            return RetryAfter.limit(delay, ThreadLocalRandom.current());
         }
         if (mEngines.isEmpty()) {
             return RetryAfter.plainService();
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RequestReporter.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RequestReporter.java
@@ -46,17 +46,17 @@
     }
 
     /** Records an attempt, and whether its upstream prefilled the prompt itself. */
-    void attempted(String upstreamId, boolean prefilledThere) {
+    void recordAttempt(String upstreamId, boolean prefilledByUpstream) {
         mAttempts++;
         mLastUpstream = upstreamId;
-        mUnsplitTokens += prefilledThere ? mPromptTokens : 0;
+        mUnsplitTokens += prefilledByUpstream ? mPromptTokens : 0;
     }
 
     /** Writes the report line. */
     void ended(
             End end,
             AttemptRule.History history,
-            boolean isPaced,
+            boolean isThrottled,
             AttemptRunner attempts,
             Optional<EnginePlacer> engines) {
         Optional<Duration> first = attempts.firstResponse();
@@ -68,7 +68,7 @@
                                 mIsClientRetry,
                                 engines.map(EnginePlacer::isTooLarge).orElse(false),
                                 engines.map(EnginePlacer::lacksPrefill).orElse(false),
-                                isPaced,
+                                isThrottled,
                                 mRequest.route(),
                                 first,
                                 attempts.longestPause(),
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/SequenceTracker.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/SequenceTracker.java
@@ -71,8 +71,8 @@
      * Updates the estimated speed with the time that the engine took to the first part of a stream.
      */
     void observeFirst(Placement placement) {
-        long sinceNanos = placement.assignment().sinceNanos();
-        double tookMillis = Millis.ofNanos(mContext.clock().nanoTime() - sinceNanos);
+        long assignedNanos = placement.assignment().assignedNanos();
+        double tookMillis = Millis.ofNanos(mContext.clock().nanoTime() - assignedNanos);
         mPace.observeFirstToken(tookMillis);
         if (placement.isUnsplit()) {
             mPace.observeDecodePrefill(placement.prefillQueueTokens(), tookMillis);
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/StreamForward.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/StreamForward.java
@@ -17,15 +17,15 @@
  * its first event is not continued but replaced. Confined to one thread.
  */
 final class StreamForward {
-    private final CallerResponse mAnswer;
+    private final CallerResponse mCaller;
     private int mStatus;
     private HeaderMap mHeaders;
     private EventFramer mFramer = new EventFramer();
     private boolean mStarted;
-    private long mLast;
+    private long mLastEventId;
 
-    StreamForward(CallerResponse answer) {
-        mAnswer = answer;
+    StreamForward(CallerResponse caller) {
+        mCaller = caller;
     }
 
     /**
@@ -34,7 +34,7 @@
      * @param status the HTTP status
      * @param headers the header fields to forward, if no head has been sent yet
      */
-    void upstreamBegins(int status, HeaderMap headers) {
+    void beginUpstream(int status, HeaderMap headers) {
         mFramer = new EventFramer();
         if (!mStarted) {
             mStatus = status;
@@ -45,14 +45,14 @@
     /** Forwards the events that a part completes. */
     void part(byte[] part) throws IOException, TimeoutException, InterruptedException {
         for (EventFramer.Event event : mFramer.feed(part)) {
-            if (event.isNumbered() && event.id() <= mLast) {
+            if (event.hasId() && event.id() <= mLastEventId) {
                 continue;
             }
-            mLast = Math.max(mLast, event.id());
+            mLastEventId = Math.max(mLastEventId, event.id());
             start();
-            mAnswer.part(event.bytes());
+            mCaller.part(event.bytes());
         }
-        if (mFramer.isOverfull()) {
+        if (mFramer.isOversized()) {
             throw new IOException("an event of the upstream exceeds the size limit of 1 MiB");
         }
     }
@@ -60,25 +60,25 @@
     private void start() {
         if (!mStarted) {
             mStarted = true;
-            mAnswer.begin(mStatus, mHeaders);
+            mCaller.begin(mStatus, mHeaders);
         }
     }
 
     void end() throws IOException, TimeoutException, InterruptedException {
         start();
-        mAnswer.end();
+        mCaller.end();
     }
 
     boolean isStarted() {
         return mStarted;
     }
 
-    boolean isBetweenEvents() {
-        return mFramer.isBetweenEvents();
+    boolean isAtEventBoundary() {
+        return mFramer.isAtEventBoundary();
     }
 
     /** Returns the id of the last event forwarded; 0 for none. */
-    long last() {
-        return mLast;
+    long lastEventId() {
+        return mLastEventId;
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/StreamTiming.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/StreamTiming.java
@@ -14,7 +14,7 @@
     private final MonotonicClock mClock;
     private final long mArrivedNanos;
     private long mFirstNanos;
-    private long mNewestNanos;
+    private long mLatestNanos;
     private long mLongestPauseNanos;
     private int mParts;
 
@@ -36,9 +36,9 @@
         if (first) {
             mFirstNanos = nowNanos;
         } else {
-            mLongestPauseNanos = Math.max(mLongestPauseNanos, nowNanos - mNewestNanos);
+            mLongestPauseNanos = Math.max(mLongestPauseNanos, nowNanos - mLatestNanos);
         }
-        mNewestNanos = nowNanos;
+        mLatestNanos = nowNanos;
         mParts++;
         return first;
     }
@@ -53,6 +53,6 @@
 
     /** Returns the time between the first and the latest part. */
     double durationMillis() {
-        return Millis.ofNanos(mNewestNanos - mFirstNanos);
+        return Millis.ofNanos(mLatestNanos - mFirstNanos);
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Upstream.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Upstream.java
@@ -23,7 +23,7 @@
     private Registration mRegistration;
     private double mPendingMillis;
     private UpstreamHealth mHealth = UpstreamHealth.UNKNOWN;
-    private final CancelSignal mEnd = new CancelSignal();
+    private final CancelSignal mRestartSignal = new CancelSignal();
     private boolean mIsReplaced;
     private int mAssignments;
 
@@ -42,8 +42,8 @@
     /**
      * Returns the signal that is cancelled when a newer incarnation takes its place; needs no lock.
      */
-    CancelSignal end() {
-        return mEnd;
+    CancelSignal restartSignal() {
+        return mRestartSignal;
     }
 
     boolean isReady() {
@@ -57,7 +57,7 @@
     /**
      * Records that another upstream has its address, so that it has ended without announcing it.
      */
-    void replaced() {
+    void markReplaced() {
         mIsReplaced |= isReady();
         update(mRegistration.in(State.GONE));
     }
@@ -94,20 +94,20 @@
      * Returns the time in which work would be finished at ordinary speed, including the backlog.
      */
     double ordinaryMillis(double workMillis, UpstreamDirectory.Backlog backlog) {
-        boolean serial = mRegistration.stage() != Registration.Stage.NONE;
+        boolean isSerial = mRegistration.stage() != Registration.Stage.NONE;
         double backlogMillis = backlog.millis(mRegistration.id(), mPendingMillis);
         return UpstreamCost.ordinaryMillis(
-                workMillis, backlogMillis, mRegistration.slots(), serial);
+                workMillis, backlogMillis, mRegistration.slots(), isSerial);
     }
 
     /** Returns the time in which work is expected to be finished, given the observed health. */
     double expectedMillis(
             double workMillis,
             UpstreamDirectory.Backlog backlog,
-            double unobserved,
+            double unobservedSlowness,
             long nowNanos) {
         double ordinaryMillis = ordinaryMillis(workMillis, backlog);
-        return mHealth.expectedMillis(ordinaryMillis, unobserved, nowNanos);
+        return mHealth.expectedMillis(ordinaryMillis, unobservedSlowness, nowNanos);
     }
 
     Slowness slowness() {
@@ -127,7 +127,7 @@
         return mRegistration.service().equals(service) && mRegistration.stage() == stage;
     }
 
-    void learn(UnaryOperator<UpstreamHealth> observation) {
+    void updateHealth(UnaryOperator<UpstreamHealth> observation) {
         mHealth = observation.apply(mHealth);
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamDirectory.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamDirectory.java
@@ -45,7 +45,7 @@
     private static final PartLog LOG = PartLog.of("upstreams");
 
     /** Upstreams beyond which those that have left are forgotten; half the target's. */
-    private static final int FORGET_COUNT = 4_096;
+    private static final int REMOVAL_THRESHOLD = 4_096;
 
     /**
      * Lower bound of the expected time in a ratio of speeds; shorter times say little about speed.
@@ -81,13 +81,16 @@
      * @param registration the registration
      */
     public void update(Registration registration) {
-        take(registration)
-                .ifPresent(ended -> ended.end().cancel(CancelSignal.Reason.UPSTREAM_STARTED_AGAIN));
+        apply(registration)
+                .ifPresent(
+                        ended ->
+                                ended.restartSignal()
+                                        .cancel(CancelSignal.Reason.UPSTREAM_STARTED_AGAIN));
         mObserver.accept(registration);
     }
 
     /** Sets the observer that is called with each registration after it has been applied. */
-    void observe(Consumer<Registration> observer) {
+    void setObserver(Consumer<Registration> observer) {
         mObserver = observer;
     }
 
@@ -103,7 +106,7 @@
     }
 
     /** Records that an upstream has stated in a response that it is leaving. */
-    void leaves(Assignment assignment) {
+    void markLeaving(Assignment assignment) {
         Registration leaving;
         try (OrderedLock.Held _ = mLock.hold()) {
             if (!assignment.upstream().isReady()) {
@@ -128,7 +131,7 @@
      * its address.
      */
     boolean hasEnded(Assignment assignment) {
-        if (assignment.hasStartedAgain()) {
+        if (assignment.hasRestarted()) {
             return true;
         }
         String address = assignment.peer().host() + ":" + assignment.peer().port();
@@ -139,11 +142,11 @@
     }
 
     /** Applies a registration; returns the incarnation that it ends, if any. */
-    private Optional<Upstream> take(Registration registration) {
+    private Optional<Upstream> apply(Registration registration) {
         try (OrderedLock.Held _ = mLock.hold()) {
             Upstream known = mUpstreams.get(registration.id());
-            if (known == null || isNextStart(registration, known)) {
-                begin(registration);
+            if (known == null || isNewIncarnation(registration, known)) {
+                add(registration);
                 return Optional.ofNullable(known);
             }
             Incarnation before = known.incarnation();
@@ -159,14 +162,14 @@
      * An upstream that has left may be followed by an incarnation with an earlier start, if the
      * registry has removed it in between.
      */
-    private static boolean isNextStart(Registration registration, Upstream known) {
+    private static boolean isNewIncarnation(Registration registration, Upstream known) {
         Incarnation incarnation = registration.incarnation();
         boolean isOther = !incarnation.equals(known.incarnation());
         return isOther && (incarnation.provesEndOf(known.incarnation()) || known.isGone());
     }
 
-    private void begin(Registration registration) {
-        if (mUpstreams.size() > FORGET_COUNT) {
+    private void add(Registration registration) {
+        if (mUpstreams.size() > REMOVAL_THRESHOLD) {
             mUpstreams.removeIf(upstream -> !upstream.isReady());
         }
         mUpstreams.put(new Upstream(registration));
@@ -178,7 +181,7 @@
      */
     void misdirected(Assignment assignment) {
         try (OrderedLock.Held _ = mLock.hold()) {
-            assignment.upstream().replaced();
+            assignment.upstream().markReplaced();
         }
     }
 
@@ -195,9 +198,9 @@
             long nowNanos = mClock.nanoTime();
             Upstream best = null;
             double leastMillis = 0;
-            double unobserved = unobserved(need.service(), need.stage(), nowNanos);
+            double unobservedSlowness = unobservedSlowness(need.service(), need.stage(), nowNanos);
             for (Upstream upstream : candidates(need, tried)) {
-                double millis = costMillis(upstream, need, unobserved, nowNanos);
+                double millis = costMillis(upstream, need, unobservedSlowness, nowNanos);
                 if (best == null || millis < leastMillis) {
                     best = upstream;
                     leastMillis = millis;
@@ -219,10 +222,10 @@
      * @param stage the stage of the upstreams
      * @return their incarnations
      */
-    List<Incarnation> takingWork(String service, Stage stage) {
+    List<Incarnation> available(String service, Stage stage) {
         try (OrderedLock.Held _ = mLock.hold()) {
             return mUpstreams.ofService(service).stream()
-                    .filter(upstream -> takesWork(upstream, service, stage))
+                    .filter(upstream -> isAvailable(upstream, service, stage))
                     .map(Upstream::incarnation)
                     .toList();
         }
@@ -238,7 +241,7 @@
     int slots(String service, Stage stage) {
         try (OrderedLock.Held _ = mLock.hold()) {
             return mUpstreams.ofService(service).stream()
-                    .filter(upstream -> takesWork(upstream, service, stage))
+                    .filter(upstream -> isAvailable(upstream, service, stage))
                     .mapToInt(upstream -> upstream.registration().slots())
                     .sum();
         }
@@ -249,39 +252,39 @@
      *
      * @param service the service
      * @param stage the stage of the upstreams
-     * @param isFit the predicate on the id of an upstream
+     * @param predicate the predicate on the id of an upstream
      * @return the ids that do not match
      */
-    Set<String> unfit(String service, Stage stage, Predicate<String> isFit) {
+    Set<String> idsNotMatching(String service, Stage stage, Predicate<String> predicate) {
         try (OrderedLock.Held _ = mLock.hold()) {
             return mUpstreams.ofService(service).stream()
                     .filter(upstream -> upstream.serves(service, stage))
                     .map(upstream -> upstream.registration().id())
-                    .filter(isFit.negate())
+                    .filter(predicate.negate())
                     .collect(Collectors.toSet());
         }
     }
 
     private List<Upstream> candidates(Need need, Set<Incarnation> tried) {
-        List<Upstream> untriedOnes = new ArrayList<>();
-        List<Upstream> triedOnes = new ArrayList<>();
+        List<Upstream> untried = new ArrayList<>();
+        List<Upstream> alreadyTried = new ArrayList<>();
         for (Upstream upstream : mUpstreams.ofService(need.service())) {
             if (isCandidate(upstream, need)) {
                 boolean wasTried = tried.contains(upstream.incarnation());
-                (wasTried ? triedOnes : untriedOnes).add(upstream);
+                (wasTried ? alreadyTried : untried).add(upstream);
             }
         }
-        return untriedOnes.isEmpty() && need.mayTakeTried() ? triedOnes : untriedOnes;
+        return untried.isEmpty() && need.mayTakeTried() ? alreadyTried : untried;
     }
 
     private boolean isCandidate(Upstream upstream, Need need) {
-        return takesWork(upstream, need.service(), need.stage())
-                && upstream.assignments() < need.mostAtOnce()
+        return isAvailable(upstream, need.service(), need.stage())
+                && upstream.assignments() < need.maxAssignments()
                 && !need.excluded().contains(upstream.registration().id());
     }
 
     /** A crashed upstream announces nothing, but its successor takes over its address. */
-    private boolean takesWork(Upstream upstream, String service, Stage stage) {
+    private boolean isAvailable(Upstream upstream, String service, Stage stage) {
         Registration registration = upstream.registration();
         return upstream.isReady()
                 && upstream.serves(service, stage)
@@ -292,22 +295,24 @@
      * Returns the slowness of upstreams without recent observations. For engines it is ordinary,
      * because the time that an engine needs is already estimated from all engines of its service.
      */
-    private double unobserved(String service, Stage stage, long nowNanos) {
+    private double unobservedSlowness(String service, Stage stage, long nowNanos) {
         if (stage != Stage.NONE) {
             return Slowness.ORDINARY;
         }
         return Slowness.unobserved(
                 mUpstreams.ofService(service).stream()
-                        .filter(upstream -> takesWork(upstream, service, stage))
+                        .filter(upstream -> isAvailable(upstream, service, stage))
                         .map(Upstream::slowness),
                 nowNanos);
     }
 
-    private double costMillis(Upstream upstream, Need need, double unobserved, long nowNanos) {
+    private double costMillis(
+            Upstream upstream, Need need, double unobservedSlowness, long nowNanos) {
         boolean sameZone = upstream.registration().zone().equals(mZone);
         double draw = mRandom.nextDouble();
         return UpstreamCost.millis(
-                upstream.expectedMillis(need.workMillis(), need.backlog(), unobserved, nowNanos),
+                upstream.expectedMillis(
+                        need.workMillis(), need.backlog(), unobservedSlowness, nowNanos),
                 need.workMillis(),
                 sameZone ? 0 : need.otherZoneMillis(),
                 draw);
@@ -322,14 +327,14 @@
     OptionalDouble estimateMillis(Need need) {
         try (OrderedLock.Held _ = mLock.hold()) {
             long nowNanos = mClock.nanoTime();
-            double unobserved = unobserved(need.service(), need.stage(), nowNanos);
+            double unobservedSlowness = unobservedSlowness(need.service(), need.stage(), nowNanos);
             return candidates(need, Set.of()).stream()
                     .mapToDouble(
                             upstream ->
                                     upstream.expectedMillis(
                                             need.workMillis(),
                                             need.backlog(),
-                                            unobserved,
+                                            unobservedSlowness,
                                             nowNanos))
                     .min();
         }
@@ -345,46 +350,47 @@
     /** Records that an upstream has succeeded in its work. */
     void succeeded(Assignment assignment) {
         answered(assignment);
-        proved(assignment);
+        confirmed(assignment);
     }
 
     /** Records that an upstream has succeeded, where this becomes known only after its response. */
-    void proved(Assignment assignment) {
-        learn(assignment, (health, nowNanos) -> health.afterSuccess());
+    void confirmed(Assignment assignment) {
+        updateHealth(assignment, (health, nowNanos) -> health.afterSuccess());
     }
 
     /** Records the time of a response of which it is not known yet whether it is usable. */
     void answered(Assignment assignment) {
-        learn(assignment, (health, nowNanos) -> afterAnswer(health, assignment, nowNanos));
+        updateHealth(assignment, (health, nowNanos) -> afterAnswer(health, assignment, nowNanos));
     }
 
     private UpstreamHealth afterAnswer(
             UpstreamHealth health, Assignment assignment, long nowNanos) {
-        double tookMillis = Millis.ofNanos(nowNanos - assignment.sinceNanos());
+        double tookMillis = Millis.ofNanos(nowNanos - assignment.assignedNanos());
         double ordinaryMillis = Math.max(MIN_ORDINARY_MILLIS, assignment.ordinaryMillis());
         Registration upstream = assignment.upstream().registration();
-        double unobserved = unobserved(upstream.service(), upstream.stage(), nowNanos);
-        return health.afterAnswer(tookMillis / ordinaryMillis, unobserved, nowNanos);
+        double unobservedSlowness =
+                unobservedSlowness(upstream.service(), upstream.stage(), nowNanos);
+        return health.afterAnswer(tookMillis / ordinaryMillis, unobservedSlowness, nowNanos);
     }
 
     /** Records that an upstream has failed. */
     void failed(Assignment assignment) {
-        learn(assignment, UpstreamHealth::afterFailure);
+        updateHealth(assignment, UpstreamHealth::afterFailure);
     }
 
     /** Records that no connection to an upstream could be made. */
     void unreachable(Assignment assignment) {
-        learn(assignment, UpstreamHealth::afterUnreachable);
+        updateHealth(assignment, UpstreamHealth::afterUnreachable);
     }
 
     /** Records that an upstream has refused its work. */
     void refused(Assignment assignment) {
-        learn(assignment, UpstreamHealth::afterRefusal);
+        updateHealth(assignment, UpstreamHealth::afterRefusal);
     }
 
     /** Records that an upstream has refused a request for which it had just reserved memory. */
-    void refusedDespiteRoom(Assignment assignment) {
-        learn(assignment, UpstreamHealth::afterRefusalDespiteRoom);
+    void refusedDespiteReservation(Assignment assignment) {
+        updateHealth(assignment, UpstreamHealth::afterRefusalDespiteRoom);
     }
 
     /**
@@ -401,7 +407,7 @@
             Set<String> avoided = new HashSet<>();
             boolean hasOther = false;
             for (Upstream upstream : mUpstreams.ofService(service)) {
-                if (!takesWork(upstream, service, stage)) {
+                if (!isAvailable(upstream, service, stage)) {
                     continue;
                 }
                 if (upstream.isAvoided(nowNanos)) {
@@ -414,13 +420,13 @@
         }
     }
 
-    private void learn(Assignment assignment, Observation observation) {
+    private void updateHealth(Assignment assignment, Observation observation) {
         boolean ejected;
         try (OrderedLock.Held _ = mLock.hold()) {
             long nowNanos = mClock.nanoTime();
             Upstream upstream = assignment.upstream();
             boolean wasEjected = upstream.isEjected(nowNanos);
-            upstream.learn(health -> observation.apply(health, nowNanos));
+            upstream.updateHealth(health -> observation.apply(health, nowNanos));
             ejected = upstream.isEjected(nowNanos) && !wasEjected;
         }
         if (ejected) {
@@ -444,7 +450,7 @@
      *     milliseconds
      * @param mayTakeTried whether an upstream that was tried may be chosen if there is no other
      * @param excluded the ids of upstreams that are never chosen
-     * @param mostAtOnce the maximum number of concurrent assignments of this instance to an
+     * @param maxAssignments the maximum number of concurrent assignments of this instance to an
      *     upstream
      * @param backlog the estimator of the backlog of an upstream
      */
@@ -455,10 +461,10 @@
             double otherZoneMillis,
             boolean mayTakeTried,
             Set<String> excluded,
-            int mostAtOnce,
+            int maxAssignments,
             Backlog backlog) {
-        /** Value of {@code mostAtOnce} that sets no limit. */
-        static final int ANY_NUMBER = Integer.MAX_VALUE;
+        /** Value of {@code maxAssignments} that sets no limit. */
+        static final int UNLIMITED = Integer.MAX_VALUE;
     }
 
     /** Estimates the work that an upstream has to do before it begins new work. Thread-safe. */
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamIndex.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamIndex.java
@@ -58,9 +58,9 @@
         }
     }
 
-    void removeIf(Predicate<Upstream> isForgotten) {
-        mById.values().removeIf(isForgotten);
-        mByService.values().forEach(upstreams -> upstreams.values().removeIf(isForgotten));
+    void removeIf(Predicate<Upstream> filter) {
+        mById.values().removeIf(filter);
+        mByService.values().forEach(upstreams -> upstreams.values().removeIf(filter));
         mByService.values().removeIf(Map::isEmpty);
     }
 
