--- a/org.orchidmount/src/main/java/org/orchidmount/relay/AttemptRunner.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/AttemptRunner.java
@@ -160,7 +160,7 @@
             mLastFailure = "the upstream has restarted";
             return AttemptOutcome.NOT_REACHED;
         }
-        if (mContext.pace().isPaused(assignment.incarnation())) {
+        if (mContext.upstreamLimits().isPaused(assignment.incarnation())) {
             mLastFailure = "the upstream has asked for a pause since it was chosen";
             return AttemptOutcome.NOT_REACHED;
         }
@@ -316,7 +316,7 @@
         StreamTiming timing = new StreamTiming(mContext.clock(), mArrivedNanos);
         mTiming = Optional.of(timing);
         for (byte[] part = call.read(timeLeft()); part != null; part = call.read(timeLeft())) {
-            boolean first = timing.part();
+            boolean first = timing.recordPart();
             recordFirstResponse();
             stream.part(part);
             mTracker.ifPresent(tracker -> tracker.generated(stream.lastEventId() - before));
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/CrashReporter.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/CrashReporter.java
@@ -35,7 +35,7 @@
         mContext = context;
         mRequest = request;
         mCancel = cancel;
-        mReports = context.crashes();
+        mReports = context.crashReports();
         mGuard =
                 new RunGuard(
                         mReports,
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/EnginePlacer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/EnginePlacer.java
@@ -169,7 +169,7 @@
     }
 
     private boolean areAllThrottled() {
-        Set<String> throttled = mContext.pace().passedOver();
+        Set<String> throttled = mContext.upstreamLimits().passedOver();
         return mContext.areAllThrottled(mService.name(), Stage.DECODE, throttled);
     }
 
@@ -180,7 +180,9 @@
     private boolean isNoneAvailableWithin(long waitNanos) {
         List<Incarnation> engines = mContext.upstreams().available(mService.name(), Stage.DECODE);
         return engines.isEmpty()
-                || mIsThrottled && mContext.pace().untilAnyTakesWork(engines).toNanos() > waitNanos;
+                || mIsThrottled
+                        && mContext.upstreamLimits().untilAnyTakesWork(engines).toNanos()
+                                > waitNanos;
     }
 
     /**
@@ -295,7 +297,7 @@
     private Set<String> excluded(PrefillRule.Choice choice) {
         Set<String> excluded = new HashSet<>(saturatedEngines());
         excluded.addAll(mContext.upstreams().avoided(mService.name(), Stage.DECODE));
-        excluded.addAll(mContext.pace().passedOver());
+        excluded.addAll(mContext.upstreamLimits().passedOver());
         if (choice == PrefillRule.Choice.UNSPLIT_IF_IDLE) {
             excluded.addAll(
                     mContext.upstreams()
@@ -312,7 +314,7 @@
                                         .saturatedEngines(
                                                 mOutput,
                                                 availableTokens(engine.memoryTokens()),
-                                                pace()))
+                                                engineSpeed()))
                 .orElseGet(Set::of);
     }
 
@@ -322,7 +324,7 @@
 
     private boolean isNearlyIdle(String upstreamId) {
         return PrefillRule.isNearlyIdle(
-                pace().decodeEngineMillis(mPrompt.tokens()),
+                engineSpeed().decodeEngineMillis(mPrompt.tokens()),
                 memoryShare(upstreamId),
                 mContext.loads().prefillBacklogTokens(upstreamId),
                 mRequest.route().longestPause().toMillis());
@@ -339,13 +341,15 @@
         long memoryTokens = availableTokens(mService.engine().get().memoryTokens());
         long roomyTokens = MemoryRule.roomyTokens(memoryTokens);
         String engine = placement.assignment().id();
-        if (!mContext.loads().saturatedEngines(mOutput, roomyTokens, pace()).contains(engine)) {
+        if (!mContext.loads()
+                .saturatedEngines(mOutput, roomyTokens, engineSpeed())
+                .contains(engine)) {
             return true;
         }
         mProgress.startWaiting(Activity.PLACEMENT, engine);
         return !mCancel.await(ANNOUNCEMENT_DELAY)
                 && mContext.loads()
-                        .keepsPlace(placement.output().orElseThrow(), memoryTokens, pace());
+                        .keepsPlace(placement.output().orElseThrow(), memoryTokens, engineSpeed());
     }
 
     private int reservedTokens() {
@@ -375,21 +379,21 @@
     private double backlogMillis(String upstreamId, double ownMillis) {
         int prefillTokens = mContext.loads().prefillBacklogTokens(upstreamId);
         return ownMillis
-                + pace().decodeEngineMillis(prefillTokens)
+                + engineSpeed().decodeEngineMillis(prefillTokens)
                 + UpstreamCost.memoryMillis(memoryShare(upstreamId), requestMillis());
     }
 
     private double requestMillis() {
-        return pace().requestMillis(mPrompt.tokens());
+        return engineSpeed().requestMillis(mPrompt.tokens());
     }
 
-    private EnginePace pace() {
-        return mContext.enginePace(mService.name()).pace();
+    private EnginePace engineSpeed() {
+        return mContext.speedEstimator(mService.name()).pace();
     }
 
     private double memoryShare(String upstreamId) {
         double memoryTokens = mService.engine().map(Service.Engine::memoryTokens).orElse(0L);
-        double usedTokens = mContext.loads().usedMemoryTokens(upstreamId, pace());
+        double usedTokens = mContext.loads().usedMemoryTokens(upstreamId, engineSpeed());
         return memoryTokens > 0 ? usedTokens / memoryTokens : 0;
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/MemoryReservations.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/MemoryReservations.java
@@ -69,14 +69,14 @@
             ClientResponse response = call.awaitResponse(CALL_TIMEOUT);
             call.limitIdle(protocol.idleTimeout(response));
             mContext.respondedToCall(assignment, response, sentNanos);
-            byte[] answer = call.readAll(CALL_TIMEOUT, RelayContext.MAX_CONTROL_BYTES);
+            byte[] responseBody = call.readAll(CALL_TIMEOUT, RelayContext.MAX_CONTROL_BYTES);
             if (!HttpStatus.isOk(response.getResponseCode())) {
                 LOG.debug(
                         "%s: memory for %d tokens not reserved at %s: status %d",
                         mRequestId, tokens, assignment.id(), response.getResponseCode());
                 return Optional.empty();
             }
-            return Optional.of(protocol.reserved(answer));
+            return Optional.of(protocol.reserved(responseBody));
         } catch (CallFailedException e) {
             mContext.callFailed(assignment, e.failure(), mCancel);
         } catch (IOException e) {
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Placement.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Placement.java
@@ -28,7 +28,7 @@
         SendPermit permit,
         int prefillQueueTokens) {
     /** Creates a placement at an upstream where nothing is reserved or announced. */
-    static Placement atPlainService(Assignment assignment, SendPermit permit) {
+    static Placement withoutReservation(Assignment assignment, SendPermit permit) {
         return new Placement(
                 assignment, Optional.empty(), Optional.empty(), Optional.empty(), permit, 0);
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Prefiller.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Prefiller.java
@@ -99,7 +99,7 @@
         }
         return PrefillRule.choose(
                 mContext.upstreams().estimateMillis(need()),
-                pace().prefillEngineMillis(mPrompt.tokens()),
+                engineSpeed().prefillEngineMillis(mPrompt.tokens()),
                 targetLeftMillis());
     }
 
@@ -115,10 +115,10 @@
         return new UpstreamDirectory.Need(
                 mService.name(),
                 Stage.PREFILL,
-                pace().prefillEngineMillis(mPrompt.tokens()),
+                engineSpeed().prefillEngineMillis(mPrompt.tokens()),
                 UpstreamCost.OTHER_ZONE_ENGINE_MILLIS,
                 false,
-                mContext.pace().passedOver(),
+                mContext.upstreamLimits().passedOver(),
                 mContext.maxAssignments(mService),
                 this::backlogMillis);
     }
@@ -126,11 +126,11 @@
     /** Returns the prefill backlog that all instances together have assigned to an engine. */
     private double backlogMillis(String upstreamId, double ownMillis) {
         int tokens = mContext.loads().prefillBacklogTokens(upstreamId);
-        return Math.max(ownMillis, pace().prefillEngineMillis(tokens));
+        return Math.max(ownMillis, engineSpeed().prefillEngineMillis(tokens));
     }
 
-    private EnginePace pace() {
-        return mContext.enginePace(mService.name()).pace();
+    private EnginePace engineSpeed() {
+        return mContext.speedEstimator(mService.name()).pace();
     }
 
     /**
@@ -187,7 +187,7 @@
             if (cache.isPresent()) {
                 mPrefilledTokens += mPrompt.tokens();
                 long tookNanos = mPrefilledNanos - assignment.assignedNanos();
-                mContext.enginePace(mService.name())
+                mContext.speedEstimator(mService.name())
                         .observePrefill(queueTokens, Millis.ofNanos(tookNanos));
             }
             mPrefillAssignment = Optional.of(assignment);
@@ -248,7 +248,7 @@
             mContext.refused(assignment);
             return Optional.empty();
         }
-        mContext.upstreams().answered(assignment);
+        mContext.upstreams().responseReceived(assignment);
         String address = assignment.peer().host() + ":" + assignment.peer().port();
         return Optional.of(new KvCacheRef(address, mContext.protocol().handle(body)));
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Relay.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Relay.java
@@ -34,8 +34,8 @@
      * @param instances the number of instances that currently share the limit
      * @param loads the sequences in flight at engines
      * @param announcer announces sequences to the other instances
-     * @param crashes the reports of requests that crash upstreams
-     * @param pace the limits that upstreams state
+     * @param crashReports the reports of requests that crash upstreams
+     * @param upstreamLimits the limits and pauses that upstreams state
      * @param connections connections to upstreams
      * @param protocol the protocol of the upstreams
      * @param clock the clock
@@ -46,8 +46,8 @@
             IntSupplier instances,
             EngineLoads loads,
             SequenceAnnouncer announcer,
-            CrashReports crashes,
-            UpstreamPace pace,
+            CrashReports crashReports,
+            UpstreamPace upstreamLimits,
             HttpConnections connections,
             UpstreamProtocol protocol,
             MonotonicClock clock) {
@@ -61,15 +61,15 @@
                         new ClientRetryDetector(clock),
                         loads,
                         announcer,
-                        crashes,
-                        pace,
+                        crashReports,
+                        upstreamLimits,
                         connections,
                         protocol,
                         clock);
         upstreams.setObserver(
                 registration -> {
-                    crashes.registered(registration);
-                    pace.registered(registration);
+                    crashReports.registered(registration);
+                    upstreamLimits.registered(registration);
                 });
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RelayContext.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RelayContext.java
@@ -41,13 +41,13 @@
  * @param upstreams the upstreams known to this instance
  * @param retryBudgets the retry budgets by service
  * @param newRetryBudget creates the budget of a service that has none yet
- * @param enginePaces the estimators of engine speed by service
+ * @param speedEstimators the estimators of engine speed by service
  * @param outputLengths the estimator of output lengths
  * @param clientRetries the detector that tells retries of callers from new requests
  * @param loads the sequences in flight at engines
  * @param announcer announces sequences to the other instances
- * @param crashes the reports of requests that crash upstreams
- * @param pace the limits that upstreams state
+ * @param crashReports the reports of requests that crash upstreams
+ * @param upstreamLimits the limits and pauses that upstreams state
  * @param connections connections to upstreams
  * @param protocol the protocol of the upstreams
  * @param clock the clock
@@ -56,13 +56,13 @@
         UpstreamDirectory upstreams,
         ConcurrentMap<String, RetryBudget> retryBudgets,
         Supplier<RetryBudget> newRetryBudget,
-        ConcurrentMap<String, EnginePaceEstimator> enginePaces,
+        ConcurrentMap<String, EnginePaceEstimator> speedEstimators,
         OutputLengthEstimator outputLengths,
         ClientRetryDetector clientRetries,
         EngineLoads loads,
         SequenceAnnouncer announcer,
-        CrashReports crashes,
-        UpstreamPace pace,
+        CrashReports crashReports,
+        UpstreamPace upstreamLimits,
         HttpConnections connections,
         UpstreamProtocol protocol,
         MonotonicClock clock) {
@@ -80,8 +80,8 @@
     }
 
     /** Returns the estimator of the speed of a service's engines, created on first use. */
-    EnginePaceEstimator enginePace(String service) {
-        return enginePaces.computeIfAbsent(service, name -> new EnginePaceEstimator());
+    EnginePaceEstimator speedEstimator(String service) {
+        return speedEstimators.computeIfAbsent(service, name -> new EnginePaceEstimator());
     }
 
     /** Updates the health of an upstream after a failed call, unless the request was cancelled. */
@@ -114,7 +114,7 @@
         if (statement.isEmpty()) {
             return;
         }
-        pace.observe(assignment.incarnation(), statement.get(), hasServed, sentNanos);
+        upstreamLimits.observe(assignment.incarnation(), statement.get(), hasServed, sentNanos);
         if (statement.get().isLeaving()) {
             upstreams.markLeaving(assignment);
         }
@@ -128,7 +128,7 @@
     int maxAssignments(Service service) {
         return service.maxConnections().isEmpty()
                 ? UpstreamDirectory.Need.UNLIMITED
-                : pace.equalPart(service.maxConnections().getAsInt());
+                : upstreamLimits.equalPart(service.maxConnections().getAsInt());
     }
 
     /**
@@ -139,7 +139,7 @@
      */
     Optional<SendPermit> acquirePermit(Assignment assignment, RelayRequest request)
             throws InterruptedException {
-        SendPermit permit = pace.take(assignment.incarnation(), request.route().target());
+        SendPermit permit = upstreamLimits.take(assignment.incarnation(), request.route().target());
         if (permit.isGranted()) {
             return Optional.of(permit);
         }
@@ -152,7 +152,7 @@
      * attributed to that and does not affect its health.
      */
     void refused(Assignment assignment) {
-        if (!pace.refusedBy(assignment.incarnation())) {
+        if (!upstreamLimits.refusedBy(assignment.incarnation())) {
             upstreams.refused(assignment);
         }
     }
@@ -162,7 +162,7 @@
      * #refused}.
      */
     void refusedDespiteReservation(Assignment assignment) {
-        if (!pace.refusedBy(assignment.incarnation())) {
+        if (!upstreamLimits.refusedBy(assignment.incarnation())) {
             upstreams.refusedDespiteReservation(assignment);
         }
     }
@@ -188,8 +188,8 @@
      * long as most pauses.
      */
     void release(Assignment assignment, HttpHead head) {
-        if (pace.isPaused(assignment.incarnation())) {
-            pace.heldBack();
+        if (upstreamLimits.isPaused(assignment.incarnation())) {
+            upstreamLimits.heldBack();
             return;
         }
         Thread.ofVirtual().name("release").start(() -> sendRelease(assignment, head));
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RequestProgress.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RequestProgress.java
@@ -48,7 +48,7 @@
         BODY
     }
 
-    private record Current(Activity activity, String upstreamId, long sinceNanos) {}
+    private record Current(Activity activity, String upstreamId, long startedNanos) {}
 
     private record Departure(long atNanos) {}
 
@@ -73,7 +73,7 @@
 
     private void addWaited(long nowNanos) {
         Current before = mCurrent;
-        mWaitedNanos.merge(before.activity(), nowNanos - before.sinceNanos(), Long::sum);
+        mWaitedNanos.merge(before.activity(), nowNanos - before.startedNanos(), Long::sum);
     }
 
     /**
@@ -100,7 +100,7 @@
                 millis(nowNanos - mArrivedNanos),
                 current.activity(),
                 current.upstreamId(),
-                millis(nowNanos - current.sinceNanos()));
+                millis(nowNanos - current.startedNanos()));
     }
 
     /** Logs how long the request continued after its caller disconnected, if it did. */
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RequestRelay.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RequestRelay.java
@@ -191,7 +191,7 @@
 
     /** Tries to acquire a permit for one upstream after another, each once. */
     private Optional<Placement> placeAtPlainService() throws InterruptedException {
-        Set<String> throttled = new HashSet<>(mContext.pace().passedOver());
+        Set<String> throttled = new HashSet<>(mContext.upstreamLimits().passedOver());
         mIsThrottled = false;
         while (true) {
             Optional<Assignment> assignment = mContext.upstreams().assign(need(throttled), mTried);
@@ -201,7 +201,7 @@
             }
             Optional<SendPermit> permit = mContext.acquirePermit(assignment.get(), mRequest);
             if (permit.isPresent()) {
-                return Optional.of(Placement.atPlainService(assignment.get(), permit.get()));
+                return Optional.of(Placement.withoutReservation(assignment.get(), permit.get()));
             }
             throttled.add(assignment.get().id());
         }
@@ -233,10 +233,10 @@
                     outcome == AttemptOutcome.ENDED || outcome == AttemptOutcome.MAY_HAVE_RUN;
             boolean prefilledByUpstream = cache.isEmpty() && isAnswered && mAttempts.hasResponse();
             if (outcome == AttemptOutcome.NOT_REACHED && placement.reservation().isEmpty()) {
-                mContext.pace().giveBack(placement.permit());
+                mContext.upstreamLimits().giveBack(placement.permit());
             }
             mReporter.recordAttempt(placement.assignment().id(), prefilledByUpstream);
-            mEngines.ifPresent(engines -> settle(engines, placement, outcome));
+            mEngines.ifPresent(engines -> releaseOrMarkUsed(engines, placement, outcome));
             return outcome;
         } finally {
             mEngines.ifPresent(engines -> engines.tracker().end(placement));
@@ -257,7 +257,8 @@
      * memory would stay reserved for up to 1.8 s; if it has taken the memory after all, the release
      * has no effect.
      */
-    private void settle(EnginePlacer engines, Placement placement, AttemptOutcome outcome) {
+    private void releaseOrMarkUsed(
+            EnginePlacer engines, Placement placement, AttemptOutcome outcome) {
         boolean untouched =
                 outcome == AttemptOutcome.NOT_RUN || outcome == AttemptOutcome.NOT_REACHED;
         if (outcome == AttemptOutcome.NOT_RUN) {
@@ -309,7 +310,8 @@
     private boolean isThrottled() {
         return mIsThrottled
                 || mEngines.map(EnginePlacer::isThrottled).orElse(false)
-                || mContext.areAllThrottled(mService.name(), stage(), mContext.pace().passedOver());
+                || mContext.areAllThrottled(
+                        mService.name(), stage(), mContext.upstreamLimits().passedOver());
     }
 
     private Stage stage() {
@@ -338,7 +340,7 @@
         List<Incarnation> upstreams = mContext.upstreams().available(mService.name(), stage());
         if (mIsThrottled && !upstreams.isEmpty()) {
             Duration delay =
-                    mContext.pace()
+                    mContext.upstreamLimits()
                             .comeBackAfter(
                                     mService.name(),
                                     upstreams,
@@ -349,18 +351,18 @@
         if (mEngines.isEmpty()) {
             return RetryAfter.plainService();
         }
-        return RetryAfter.engines(enginePace(), ThreadLocalRandom.current());
+        return RetryAfter.engines(engineSpeed(), ThreadLocalRandom.current());
     }
 
-    private EnginePace enginePace() {
-        return mContext.enginePace(mService.name()).pace();
+    private EnginePace engineSpeed() {
+        return mContext.speedEstimator(mService.name()).pace();
     }
 
     /** Returns the requests per second that an upstream without a limit is expected to accept. */
     private double unlimitedPerSecond(int upstreams) {
         if (mRequest.prompt().isPresent()) {
             int tokens = mRequest.prompt().get().tokens();
-            return MILLIS_PER_SECOND / enginePace().requestMillis(tokens);
+            return MILLIS_PER_SECOND / engineSpeed().requestMillis(tokens);
         }
         double slots = mContext.upstreams().slots(mService.name(), stage());
         return MILLIS_PER_SECOND / UpstreamCost.PLAIN_REQUEST_MILLIS * slots / upstreams;
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/SequenceTracker.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/SequenceTracker.java
@@ -24,14 +24,14 @@
     private static final int MIN_EVENTS = 8;
 
     private final RelayContext mContext;
-    private final EnginePaceEstimator mPace;
+    private final EnginePaceEstimator mSpeedEstimator;
     private final int mEventTokens;
     private final AtomicInteger mGeneratedTokens = new AtomicInteger();
     private int mPlacements;
 
     SequenceTracker(RelayContext context, Service service) {
         mContext = context;
-        mPace = context.enginePace(service.name());
+        mSpeedEstimator = context.speedEstimator(service.name());
         mEventTokens = service.engine().map(Service.Engine::eventTokens).orElse(1);
     }
 
@@ -73,16 +73,16 @@
     void observeFirst(Placement placement) {
         long assignedNanos = placement.assignment().assignedNanos();
         double tookMillis = Millis.ofNanos(mContext.clock().nanoTime() - assignedNanos);
-        mPace.observeFirstToken(tookMillis);
+        mSpeedEstimator.observeFirstToken(tookMillis);
         if (placement.isUnsplit()) {
-            mPace.observeDecodePrefill(placement.prefillQueueTokens(), tookMillis);
+            mSpeedEstimator.observeDecodePrefill(placement.prefillQueueTokens(), tookMillis);
         }
     }
 
     /** Updates the estimated speed with a complete stream, unless it is too short. */
     void observe(long events, StreamTiming timing) {
         if (events >= MIN_EVENTS) {
-            mPace.observeOutput((events - 1) * mEventTokens, timing.durationMillis());
+            mSpeedEstimator.observeOutput((events - 1) * mEventTokens, timing.durationMillis());
         }
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/StreamTiming.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/StreamTiming.java
@@ -30,7 +30,7 @@
     }
 
     /** Records the arrival of a part; returns whether it is the first. */
-    boolean part() {
+    boolean recordPart() {
         long nowNanos = mClock.nanoTime();
         boolean first = mParts == 0;
         if (first) {
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamDirectory.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamDirectory.java
@@ -349,7 +349,7 @@
 
     /** Records that an upstream has succeeded in its work. */
     void succeeded(Assignment assignment) {
-        answered(assignment);
+        responseReceived(assignment);
         confirmed(assignment);
     }
 
@@ -359,11 +359,11 @@
     }
 
     /** Records the time of a response of which it is not known yet whether it is usable. */
-    void answered(Assignment assignment) {
-        updateHealth(assignment, (health, nowNanos) -> afterAnswer(health, assignment, nowNanos));
+    void responseReceived(Assignment assignment) {
+        updateHealth(assignment, (health, nowNanos) -> afterResponse(health, assignment, nowNanos));
     }
 
-    private UpstreamHealth afterAnswer(
+    private UpstreamHealth afterResponse(
             UpstreamHealth health, Assignment assignment, long nowNanos) {
         double tookMillis = Millis.ofNanos(nowNanos - assignment.assignedNanos());
         double ordinaryMillis = Math.max(MIN_ORDINARY_MILLIS, assignment.ordinaryMillis());
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamProtocol.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamProtocol.java
@@ -83,10 +83,10 @@
      * Creates the body of the call that reserves memory and a place at an engine.
      *
      * @param tokens the memory to reserve, in tokens
-     * @param life the time for which the engine keeps the memory if it is not used
+     * @param ttl the time for which the engine keeps the memory if it is not used
      * @return the body
      */
-    byte[] reservation(int tokens, Duration life);
+    byte[] reservation(int tokens, Duration ttl);
 
     /**
      * Creates the head of the call that reserves memory and a place at an engine.
