--- a/org.orchidmount/src/main/java/org/orchidmount/relay/CrashReporter.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/CrashReporter.java
@@ -14,12 +14,13 @@
 import org.orchidmount.upstream.CancelSignal;
 
 /**
- * Guards the runs of one request at registered upstreams, and reports it if one of these crashes.
+ * Guards the runs of one request at registered upstreams, and reports the request if an upstream
+ * crashes while running it.
  *
- * <p>An upstream has crashed under a request if the connection broke while the request was at work
- * there, or the upstream fell silent, and it had not said that it leaves, and if its process has
- * ended: nothing listens at its address any more, or another one registers in its place. A broken
- * connection alone proves nothing. Used by one virtual thread.
+ * <p>A crash is attributed to a request if the connection broke or the upstream stopped responding
+ * while it ran the request, the upstream had not announced that it was leaving, and its process has
+ * ended: nothing listens at its address any more, or another upstream has registered in its place.
+ * A broken connection alone proves nothing. Confined to one virtual thread.
  */
 final class CrashReporter implements AutoCloseable {
     private static final PartLog LOG = PartLog.of("crash");
@@ -34,7 +35,7 @@
         mContext = context;
         mRequest = request;
         mCancel = cancel;
-        mReports = context.crashes();
+        mReports = context.crashReports();
         mGuard =
                 new RunGuard(
                         mReports,
@@ -53,69 +54,81 @@
                 mRequest.body());
     }
 
-    /** Tells whether the request must not be run any more. */
+    /** Returns whether the request is quarantined and must not run again. */
     boolean isQuarantined() {
         return mGuard.isQuarantined();
     }
 
-    /** Begins a run; returns false if the request must not run now. */
+    /**
+     * Begins a run; returns false if the request must not run now, because it is quarantined or a
+     * copy of it is running.
+     */
     boolean mayRun() {
         return mGuard.mayRun();
     }
 
     /**
-     * Notes that a call has failed. One that was cancelled was broken off here; if its caller had
-     * left, what the upstream does meanwhile still counts.
+     * Records a failed call. A cancelled call was aborted by this instance; if the reason was that
+     * the caller disconnected, a crash of the upstream that follows still counts.
      *
      * @param assignment the work that the call was for
      * @param failure how it failed
-     * @param from the last event that the caller had when the call began; 0 for none
-     * @param at the last event that the caller has now
+     * @param fromEventId the id of the last event that the caller had when the call began; 0 for
+     *     none
+     * @param toEventId the id of the last event that the caller has now; 0 for none
      */
-    void failed(Assignment assignment, Failure failure, long from, long at) {
+    void failed(Assignment assignment, Failure failure, long fromEventId, long toEventId) {
         if (mCancel.reason() == CancelSignal.Reason.CALLER_GONE && failure.mayHaveRun()) {
             mGuard.abandoned(
-                    assignment.peer(), () -> mContext.upstreams().isLeaving(assignment), from, at);
+                    assignment.peer(),
+                    () -> mContext.upstreams().isLeaving(assignment),
+                    fromEventId,
+                    toEventId);
             return;
         }
         if (mCancel.isCancelled() || !CrashReports.mayBeCrash(failure)) {
             return;
         }
         if (failure instanceof Failure.Broken) {
-            logBrokenOff(assignment, failure, from, at);
+            logConnectionBroken(assignment, failure, fromEventId, toEventId);
         }
         if (mContext.upstreams().isLeaving(assignment)) {
             return;
         }
         if (mContext.upstreams().hasEnded(assignment)) {
-            mGuard.crashed(from, at);
+            mGuard.crashed(fromEventId, toEventId);
         } else {
-            mGuard.failed(failure, assignment.incarnation(), assignment.peer(), from, at);
+            mGuard.failed(
+                    failure, assignment.incarnation(), assignment.peer(), fromEventId, toEventId);
         }
     }
 
-    private void logBrokenOff(Assignment assignment, Failure failure, long from, long at) {
-        double heldMillis = Millis.ofNanos(mContext.clock().nanoTime() - assignment.sinceNanos());
+    private void logConnectionBroken(
+            Assignment assignment, Failure failure, long fromEventId, long toEventId) {
+        double elapsedMillis =
+                Millis.ofNanos(mContext.clock().nanoTime() - assignment.assignedNanos());
         LOG.info(
-                "%s: broken off: %s; fingerprint %s, %.0f ms after it was placed, from event %d"
-                        + " to %d, at work there %s",
+                "%s: connection broken: %s; fingerprint %s, %.0f ms after placement, from event %d"
+                        + " to %d, sequences in flight at the upstream: %s",
                 mRequest.id(),
                 failure.describe(),
                 mGuard.fingerprint(),
-                heldMillis,
-                from,
-                at,
+                elapsedMillis,
+                fromEventId,
+                toEventId,
                 mContext.loads().sequencesAt(assignment.id()));
     }
 
-    /** Notes that an upstream has survived the request. */
+    /** Records that an upstream has run the request without crashing. */
     void survived() {
         mGuard.survived();
     }
 
-    /** Notes that the request is refused because it is quarantined. */
+    /** Records that the request was refused because it is quarantined. */
     void refused() {
-        LOG.info("%s: refused, the request %s is quarantined", mRequest.id(), mGuard.fingerprint());
+        LOG.info(
+                "%s: refused: request fingerprint %s is quarantined",
+                mRequest.id(), mGuard.fingerprint());
         mReports.refused();
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/EnginePlacer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/EnginePlacer.java
@@ -29,17 +29,20 @@
 /**
  * Finds a decode engine for one request and reserves memory there, before its prompt is prefilled.
  *
- * <p>It carries out {@link MemoryRule}, {@link MemoryWaitRule} and {@link PrefillRule}. Invariant:
- * what was reserved or announced and is not used is released. Used by one virtual thread.
+ * <p>Applies {@link MemoryRule}, {@link MemoryWaitRule} and {@link PrefillRule}. Invariant:
+ * reservations and announcements that are not used are withdrawn. Confined to one virtual thread.
  */
 final class EnginePlacer {
     private static final PartLog LOG = PartLog.of("engine");
 
-    /** Pause between two looks for room: some refreshes of what others announce. */
-    private static final Duration POLL = Duration.ofMillis(45);
+    /**
+     * Interval between two searches for capacity; other instances refresh their announcements
+     * several times within it.
+     */
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(45);
 
-    /** How long an announcement takes to all instances, and a little more. */
-    private static final Duration ANNOUNCED_AFTER = Duration.ofMillis(30);
+    /** Time in which an announcement reaches all instances, with a small margin. */
+    private static final Duration ANNOUNCEMENT_DELAY = Duration.ofMillis(30);
 
     private final RelayContext mContext;
     private final RelayRequest mRequest;
@@ -47,17 +50,17 @@
     private final Service mService;
     private final CancelSignal mCancel;
     private final RequestProgress mProgress;
-    private final OutputLengthEstimator.Stated mStated;
+    private final OutputLengthEstimator.Stated mStatedLengths;
     private final InFlightSequence mOutput;
     private final Duration mNewRequestWait;
-    private Duration mLongestWait;
+    private Duration mMaxWait;
     private final SequenceTracker mTracker;
     private final Prefiller mPrefiller;
     private final MemoryReservations mReservations;
     private final boolean mIsClientRetry;
     private boolean mLacksPrefill;
     private boolean mIsTooLarge;
-    private boolean mIsPaced;
+    private boolean mIsThrottled;
 
     EnginePlacer(
             RelayContext context,
@@ -74,21 +77,21 @@
         mService = service;
         mCancel = cancel;
         mProgress = progress;
-        mStated =
+        mStatedLengths =
                 new OutputLengthEstimator.Stated(
                         prompt.expectedOutputTokens(), prompt.maxOutputTokens());
-        context.outputLengths().observe(mStated);
+        context.outputLengths().observe(mStatedLengths);
         mOutput =
                 InFlightSequence.ofOutput(
                         request.id(),
                         prompt.tokens(),
-                        context.outputLengths().expect(mStated),
+                        context.outputLengths().expect(mStatedLengths),
                         prompt.maxOutputTokens() > 0
                                 ? prompt.maxOutputTokens()
                                 : Integer.MAX_VALUE);
         mIsClientRetry = isClientRetry;
         mNewRequestWait = newRequestWait();
-        mLongestWait =
+        mMaxWait =
                 isClientRetry
                         ? MemoryWaitRule.forClientRetry(request.route().target())
                         : mNewRequestWait;
@@ -121,10 +124,10 @@
     }
 
     /**
-     * Waits for an engine with room and reserves memory there.
+     * Waits for an engine with capacity and reserves memory there.
      *
      * @param tried the engines that the request has tried
-     * @return the place; nothing if none was found in time
+     * @return the placement; empty if none was found in time
      * @throws InterruptedException if the thread is interrupted
      */
     Optional<Placement> place(Set<Incarnation> tried) throws InterruptedException {
@@ -132,18 +135,18 @@
         if (mIsTooLarge) {
             return Optional.empty();
         }
-        long untilNanos = mContext.clock().nanoTime() + mLongestWait.toNanos();
+        long untilNanos = mContext.clock().nanoTime() + mMaxWait.toNanos();
         while (!mCancel.isCancelled()) {
-            Optional<Placement> placement = placeByChoice(tried);
-            mIsPaced = placement.isEmpty() && areAllPassedOver();
+            Optional<Placement> placement = tryPlace(tried);
+            mIsThrottled = placement.isEmpty() && areAllThrottled();
             long nowNanos = mContext.clock().nanoTime();
             if (placement.isPresent()) {
-                // Another attempt waits as a new request does, or the waits of a client retry would
-                // add up to more than its caller waits for the first part.
-                mLongestWait = mNewRequestWait;
+                // Further attempts wait only as long as a new request; otherwise the waits of a
+                // client retry would add up to more than its caller waits for the first part.
+                mMaxWait = mNewRequestWait;
                 return placement;
             }
-            if (noneTakesWorkBefore(untilNanos - nowNanos)) {
+            if (isNoneAvailableWithin(untilNanos - nowNanos)) {
                 return Optional.empty();
             }
             if (nowNanos - untilNanos > 0) {
@@ -151,70 +154,84 @@
                 logNoPlace();
                 return Optional.empty();
             }
-            mProgress.waitsFor(Activity.PLACEMENT);
-            mCancel.await(POLL);
+            mProgress.startWaiting(Activity.PLACEMENT);
+            mCancel.await(POLL_INTERVAL);
         }
         return Optional.empty();
     }
 
-    /** Tells whether the request is larger than an engine's memory, so that none was asked. */
+    /**
+     * Returns whether the request exceeds the memory of an engine, in which case no engine was
+     * asked.
+     */
     boolean isTooLarge() {
         return mIsTooLarge;
     }
 
-    private boolean areAllPassedOver() {
-        Set<String> passedOver = mContext.pace().passedOver();
-        return mContext.areAllPassedOver(mService.name(), Stage.DECODE, passedOver);
+    private boolean areAllThrottled() {
+        Set<String> throttled = mContext.upstreamLimits().passedOver();
+        return mContext.areAllThrottled(mService.name(), Stage.DECODE, throttled);
     }
 
-    /** A request is not held where there is no engine, or none takes anything while it waits. */
-    private boolean noneTakesWorkBefore(long waitNanos) {
-        List<Incarnation> engines = mContext.upstreams().takingWork(mService.name(), Stage.DECODE);
+    /**
+     * Returns whether waiting is useless: there is no engine, or none accepts work before the wait
+     * ends.
+     */
+    private boolean isNoneAvailableWithin(long waitNanos) {
+        List<Incarnation> engines = mContext.upstreams().available(mService.name(), Stage.DECODE);
         return engines.isEmpty()
-                || mIsPaced && mContext.pace().untilAnyTakesWork(engines).toNanos() > waitNanos;
+                || mIsThrottled
+                        && mContext.upstreamLimits().untilAnyTakesWork(engines).toNanos()
+                                > waitNanos;
     }
 
-    /** Tells whether the last look found that each engine is passed over for what it states. */
-    boolean isPaced() {
-        return mIsPaced;
+    /**
+     * Returns whether the last search found every engine at its stated limit or in a pause that it
+     * has asked for.
+     */
+    boolean isThrottled() {
+        return mIsThrottled;
     }
 
     private boolean canEverFit() {
         return mService.engine()
-                .map(engine -> MemoryRule.canEverFit(atBegin(), engine.memoryTokens()))
+                .map(engine -> MemoryRule.canEverFit(initialForecast(), engine.memoryTokens()))
                 .orElse(true);
     }
 
-    private MemoryForecast.Sequence atBegin() {
+    private MemoryForecast.Sequence initialForecast() {
         return mOutput.forecastInput(0);
     }
 
-    /** Tells whether the last look found memory, but no engine that could prefill in time. */
+    /** Returns whether the last search found memory, but no engine that could prefill in time. */
     boolean lacksPrefill() {
         return mLacksPrefill;
     }
 
     private void logNoPlace() {
         LOG.debug(
-                "%s: no decode engine for %d tokens within %d ms, prefill %s, no room at %s",
+                "%s: no decode engine for %d tokens within %d ms; prefill %s, no capacity at %s",
                 mRequest.id(),
                 reservedTokens(),
-                mLongestWait.toMillis(),
+                mMaxWait.toMillis(),
                 mPrefiller.choice(),
                 saturatedEngines());
     }
 
-    private Optional<Placement> placeByChoice(Set<Incarnation> tried) throws InterruptedException {
+    private Optional<Placement> tryPlace(Set<Incarnation> tried) throws InterruptedException {
         PrefillRule.Choice choice = mPrefiller.choice();
         if (choice != PrefillRule.Choice.UNSPLIT_IF_IDLE_ELSE_SPLIT) {
-            return placeNow(tried, choice);
+            return tryEngines(tried, choice);
         }
-        Optional<Placement> idle = placeNow(tried, PrefillRule.Choice.UNSPLIT_IF_IDLE);
-        return idle.isPresent() ? idle : placeNow(tried, PrefillRule.Choice.SPLIT);
+        Optional<Placement> idle = tryEngines(tried, PrefillRule.Choice.UNSPLIT_IF_IDLE);
+        return idle.isPresent() ? idle : tryEngines(tried, PrefillRule.Choice.SPLIT);
     }
 
-    /** Asks engines in turn, each once; one that was tried only if there is no other. */
-    private Optional<Placement> placeNow(Set<Incarnation> tried, PrefillRule.Choice choice)
+    /**
+     * Asks engines in turn, each once. An engine that was tried before is asked only if there is no
+     * other.
+     */
+    private Optional<Placement> tryEngines(Set<Incarnation> tried, PrefillRule.Choice choice)
             throws InterruptedException {
         Set<String> excluded = excluded(choice);
         Set<Incarnation> refused = new HashSet<>(tried);
@@ -237,7 +254,7 @@
 
     private Optional<Placement> placeAt(Assignment assignment, PrefillRule.Choice choice)
             throws InterruptedException {
-        Optional<SendPermit> permit = mContext.mayBeSent(assignment, mRequest);
+        Optional<SendPermit> permit = mContext.acquirePermit(assignment, mRequest);
         if (permit.isEmpty()) {
             return Optional.empty();
         }
@@ -246,7 +263,7 @@
             return Optional.empty();
         }
         Placement placement = announce(assignment, reservation, permit.get(), choice);
-        if (keepsPlace(placement)) {
+        if (confirmPlacement(placement)) {
             return Optional.of(placement);
         }
         mTracker.end(placement);
@@ -272,17 +289,19 @@
     }
 
     /**
-     * Names the engines that have no room, that are ejected or refuse work, or that the choice
-     * rules out. One that is gone or refuses looks like the emptiest of all, so a request waits for
-     * room at another rather than try it.
+     * Returns the ids of the engines that have no capacity, that are ejected, refuse work or are
+     * throttled, or that the prefill choice rules out. An engine that is gone or refuses work
+     * appears to have the lowest load of all, so a request waits for capacity at another engine
+     * rather than try it.
      */
     private Set<String> excluded(PrefillRule.Choice choice) {
         Set<String> excluded = new HashSet<>(saturatedEngines());
         excluded.addAll(mContext.upstreams().avoided(mService.name(), Stage.DECODE));
-        excluded.addAll(mContext.pace().passedOver());
+        excluded.addAll(mContext.upstreamLimits().passedOver());
         if (choice == PrefillRule.Choice.UNSPLIT_IF_IDLE) {
             excluded.addAll(
-                    mContext.upstreams().unfit(mService.name(), Stage.DECODE, this::isNearlyIdle));
+                    mContext.upstreams()
+                            .idsNotMatching(mService.name(), Stage.DECODE, this::isNearlyIdle));
         }
         return excluded;
     }
@@ -295,47 +314,49 @@
                                         .saturatedEngines(
                                                 mOutput,
                                                 availableTokens(engine.memoryTokens()),
-                                                pace()))
+                                                engineSpeed()))
                 .orElseGet(Set::of);
     }
 
     private long availableTokens(long memoryTokens) {
-        return MemoryRule.availableTokens(atBegin(), mIsClientRetry, memoryTokens);
+        return MemoryRule.availableTokens(initialForecast(), mIsClientRetry, memoryTokens);
     }
 
     private boolean isNearlyIdle(String upstreamId) {
         return PrefillRule.isNearlyIdle(
-                pace().decodeEngineMillis(mPrompt.tokens()),
+                engineSpeed().decodeEngineMillis(mPrompt.tokens()),
                 memoryShare(upstreamId),
                 mContext.loads().prefillBacklogTokens(upstreamId),
                 mRequest.route().longestPause().toMillis());
     }
 
     /**
-     * Checks a placement again once all instances have received it. Where the engine has much room,
-     * that need not be waited for.
+     * Checks a placement again once all instances have received its announcement. The wait is
+     * skipped if the engine has ample free memory.
      */
-    private boolean keepsPlace(Placement placement) throws InterruptedException {
+    private boolean confirmPlacement(Placement placement) throws InterruptedException {
         if (mService.engine().isEmpty()) {
             return true;
         }
         long memoryTokens = availableTokens(mService.engine().get().memoryTokens());
         long roomyTokens = MemoryRule.roomyTokens(memoryTokens);
         String engine = placement.assignment().id();
-        if (!mContext.loads().saturatedEngines(mOutput, roomyTokens, pace()).contains(engine)) {
+        if (!mContext.loads()
+                .saturatedEngines(mOutput, roomyTokens, engineSpeed())
+                .contains(engine)) {
             return true;
         }
-        mProgress.waitsFor(Activity.PLACEMENT, engine);
-        return !mCancel.await(ANNOUNCED_AFTER)
+        mProgress.startWaiting(Activity.PLACEMENT, engine);
+        return !mCancel.await(ANNOUNCEMENT_DELAY)
                 && mContext.loads()
-                        .keepsPlace(placement.output().orElseThrow(), memoryTokens, pace());
+                        .keepsPlace(placement.output().orElseThrow(), memoryTokens, engineSpeed());
     }
 
     private int reservedTokens() {
         return MemoryRule.reservedTokens(
                 mPrompt.tokens(),
                 mOutput.maxOutputTokens(),
-                mContext.outputLengths().reserve(mStated),
+                mContext.outputLengths().reserve(mStatedLengths),
                 mContext.announcer().isComplete());
     }
 
@@ -347,33 +368,36 @@
                 UpstreamCost.OTHER_ZONE_ENGINE_MILLIS,
                 mayTakeTried,
                 excluded,
-                mContext.mostAtOnce(mService),
+                mContext.maxAssignments(mService),
                 this::backlogMillis);
     }
 
-    /** Prefers engines whose memory is less full and that have less to prefill. */
+    /**
+     * Estimates the backlog of an engine so that engines with more free memory and fewer queued
+     * prefills are preferred.
+     */
     private double backlogMillis(String upstreamId, double ownMillis) {
         int prefillTokens = mContext.loads().prefillBacklogTokens(upstreamId);
         return ownMillis
-                + pace().decodeEngineMillis(prefillTokens)
+                + engineSpeed().decodeEngineMillis(prefillTokens)
                 + UpstreamCost.memoryMillis(memoryShare(upstreamId), requestMillis());
     }
 
     private double requestMillis() {
-        return pace().requestMillis(mPrompt.tokens());
+        return engineSpeed().requestMillis(mPrompt.tokens());
     }
 
-    private EnginePace pace() {
-        return mContext.enginePace(mService.name()).pace();
+    private EnginePace engineSpeed() {
+        return mContext.speedEstimator(mService.name()).pace();
     }
 
     private double memoryShare(String upstreamId) {
         double memoryTokens = mService.engine().map(Service.Engine::memoryTokens).orElse(0L);
-        double usedTokens = mContext.loads().usedMemoryTokens(upstreamId, pace());
+        double usedTokens = mContext.loads().usedMemoryTokens(upstreamId, engineSpeed());
         return memoryTokens > 0 ? usedTokens / memoryTokens : 0;
     }
 
-    /** Releases the memory of a placement that the request did not use. */
+    /** Releases the memory reserved for a placement that the request did not use. */
     void release(Placement placement) {
         mReservations.release(placement);
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RequestProgress.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RequestProgress.java
@@ -12,11 +12,11 @@
 import org.orchidmount.internal.log.PartLog;
 
 /**
- * What one request waits for, so that the log shows what was under way when its caller left and how
- * long that went on.
+ * Tracks what one request waits for, so that the log shows what was under way when its caller
+ * disconnected and how long the request continued after that.
  *
- * <p>Invariant: writes at most two lines a request. Thread-safe: the request's thread writes the
- * steps, the thread that notices the departure reads them.
+ * <p>Invariant: writes at most two log lines per request. Thread-safe: the request's thread writes
+ * the current activity, and the thread that detects the disconnection reads it.
  */
 final class RequestProgress {
     private static final PartLog LOG = PartLog.of("departure");
@@ -29,26 +29,26 @@
     private volatile Current mCurrent;
     private volatile Departure mDeparture;
 
-    /** Nanoseconds that the request has waited for each; used by the request's thread only. */
+    /** Total time waited for each activity, in nanoseconds. Confined to the request's thread. */
     private final Map<Activity, Long> mWaitedNanos = new EnumMap<>(Activity.class);
 
     /** What a request may wait for. */
     enum Activity {
-        /** For a place at an upstream. */
+        /** A placement at an upstream. */
         PLACEMENT,
-        /** For memory at an engine. */
+        /** A reservation of memory at an engine. */
         RESERVATION,
-        /** For an engine to prefill the prompt. */
+        /** An engine that prefills the prompt. */
         PREFILL,
-        /** For a connection to the upstream, and for the request to be written to it. */
+        /** A connection to the upstream, and the request to be written to it. */
         SENDING,
-        /** For the head of the upstream's response. */
+        /** The head of the upstream's response. */
         RESPONSE,
-        /** For the rest of the response, or for the caller to take it. */
+        /** The rest of the response, or the caller to receive it. */
         BODY
     }
 
-    private record Current(Activity activity, String upstreamId, long sinceNanos) {}
+    private record Current(Activity activity, String upstreamId, long startedNanos) {}
 
     private record Departure(long atNanos) {}
 
@@ -59,13 +59,13 @@
         mCurrent = new Current(Activity.PLACEMENT, NO_UPSTREAM, mArrivedNanos);
     }
 
-    /** Notes that the request waits for something that needs no upstream. */
-    void waitsFor(Activity activity) {
-        waitsFor(activity, NO_UPSTREAM);
+    /** Records that the request now waits for an activity that involves no upstream. */
+    void startWaiting(Activity activity) {
+        startWaiting(activity, NO_UPSTREAM);
     }
 
-    /** Notes that the request waits for an upstream. */
-    void waitsFor(Activity activity, String upstreamId) {
+    /** Records that the request now waits for an upstream. */
+    void startWaiting(Activity activity, String upstreamId) {
         long nowNanos = mClock.nanoTime();
         addWaited(nowNanos);
         mCurrent = new Current(activity, upstreamId, nowNanos);
@@ -73,10 +73,13 @@
 
     private void addWaited(long nowNanos) {
         Current before = mCurrent;
-        mWaitedNanos.merge(before.activity(), nowNanos - before.sinceNanos(), Long::sum);
+        mWaitedNanos.merge(before.activity(), nowNanos - before.startedNanos(), Long::sum);
     }
 
-    /** Returns how long the request has waited for something, all its earlier waits together. */
+    /**
+     * Returns the total time that the request has waited for an activity, without a wait that is
+     * still under way.
+     */
     Duration waited(Activity activity) {
         return Duration.ofNanos(mWaitedNanos.getOrDefault(activity, 0L));
     }
@@ -86,27 +89,27 @@
         return Duration.ofNanos(mClock.nanoTime() - mArrivedNanos);
     }
 
-    /** Logs that the caller has left. */
+    /** Logs that the caller has disconnected. */
     void callerLeft() {
         long nowNanos = mClock.nanoTime();
         mDeparture = new Departure(nowNanos);
         Current current = mCurrent;
         LOG.info(
-                "%s: the caller left after %d ms, during %s at %s since %d ms",
+                "%s: the caller disconnected after %d ms, during %s at %s for %d ms",
                 mRequestId,
                 millis(nowNanos - mArrivedNanos),
                 current.activity(),
                 current.upstreamId(),
-                millis(nowNanos - current.sinceNanos()));
+                millis(nowNanos - current.startedNanos()));
     }
 
-    /** Logs how long the request went on after its caller had left, if it has left. */
+    /** Logs how long the request continued after its caller disconnected, if it did. */
     void ended() {
         Departure departure = mDeparture;
         if (departure != null) {
             Current current = mCurrent;
             LOG.info(
-                    "%s: ended %d ms after the caller left, last during %s at %s",
+                    "%s: ended %d ms after the caller disconnected, last during %s at %s",
                     mRequestId,
                     millis(mClock.nanoTime() - departure.atNanos()),
                     current.activity(),
