--- a/org.orchidmount/src/main/java/org/orchidmount/quota/LeaseHistory.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/LeaseHistory.java
@@ -6,30 +6,34 @@
 package org.orchidmount.quota;
 
 /**
- * Since when there was no more than one other lease, as far as one voter can know.
+ * Tracks since when at most one other lease has existed, as far as one voter can know.
  *
  * <p>Leases are numbered, with gaps where an election failed. A voter that has just started, or
- * that sees a number which does not follow the one it knew, may have missed some. Not thread-safe;
- * time is passed in.
+ * that sees a number which is not the successor of the last one, may have missed leases. Not
+ * thread-safe; callers pass the time in.
  */
 public final class LeaseHistory {
-    /** Long enough ago for every rule that asks; an age that cannot overflow. */
+    /** Age that exceeds every window and cannot overflow. */
     private static final long LONG_AGO_NANOS = Long.MAX_VALUE / 4;
 
     private long mLease;
 
-    /** When the present lease was seen first. */
+    /** Monotonic time at which the current lease was first seen. */
     private long mBeganNanos;
 
-    /** When the lease before it was seen first, or at the latest began. */
+    /**
+     * Monotonic time at which the previous lease was first seen, or the latest time at which it can
+     * have begun.
+     */
     private long mFormerNanos;
 
     /**
-     * Begins with the newest lease that is known.
+     * Creates a history that begins with the newest known lease.
      *
-     * @param lease its number
-     * @param isFirstStart whether the whole site starts for the first time, so that none was missed
-     * @param nowNanos the monotonic time
+     * @param lease number of the lease
+     * @param isFirstStart whether the whole site starts for the first time, so that no lease was
+     *     missed
+     * @param nowNanos monotonic time
      */
     public LeaseHistory(long lease, boolean isFirstStart, long nowNanos) {
         mLease = lease;
@@ -38,10 +42,10 @@
     }
 
     /**
-     * Notes the lease that is known now.
+     * Records the lease that is current now.
      *
-     * @param lease its number
-     * @param nowNanos the monotonic time
+     * @param lease number of the lease
+     * @param nowNanos monotonic time
      */
     public void see(long lease, long nowNanos) {
         if (lease == mLease) {
@@ -54,9 +58,9 @@
     }
 
     /**
-     * Returns since when there was no more than one lease besides the present one.
+     * Returns since when at most one lease besides the current one has existed.
      *
-     * @return a monotonic time
+     * @return monotonic time, in the distant past if the site started for the first time
      */
     public long formerNanos() {
         return mFormerNanos;
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaAnswer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaAnswer.java
@@ -8,43 +8,44 @@
 import java.time.Duration;
 
 /**
- * What became of a question for units. Immutable.
+ * Result of a quota request. Immutable.
  *
- * @param outcome whether they may be used
- * @param comeBackAfter when the key is expected to have room again; zero unless it has none
+ * @param outcome whether the units may be used
+ * @param comeBackAfter time after which the key is expected to have capacity; zero unless the
+ *     outcome is {@link Outcome#EXCEEDED}
  */
 public record QuotaAnswer(Outcome outcome, Duration comeBackAfter) {
-    /** Whether units may be used. */
+    /** Whether the requested units may be used. */
     public enum Outcome {
-        /** They may be used, and count as used. */
+        /** The units may be used and are counted by the owner. */
         GRANTED,
-        /** They may be used, granted without the lease out of what the limit tolerates. */
+        /** The units may be used; granted without the lease, out of the tolerance of the limit. */
         GRANTED_OFFLINE,
         /** The key has used up its limit. */
         EXCEEDED,
-        /** More is asked for than the limit will ever hold at once. */
+        /** The request exceeds what the limit can ever hold at once. */
         TOO_LARGE,
-        /** The asked instance does not own the bucket, or no owner answered. */
+        /** The instance that was asked does not own the bucket, or no owner answered. */
         NO_OWNER
     }
 
-    /** The units may be used. */
+    /** Granted by the owner of the bucket. */
     public static final QuotaAnswer GRANTED = new QuotaAnswer(Outcome.GRANTED, Duration.ZERO);
 
-    /** The units may be used, though no owner answered. */
+    /** Granted although no owner answered. */
     public static final QuotaAnswer GRANTED_OFFLINE =
             new QuotaAnswer(Outcome.GRANTED_OFFLINE, Duration.ZERO);
 
-    /** The limit never holds so much. */
+    /** Refused because the limit never holds that many units. */
     public static final QuotaAnswer TOO_LARGE = new QuotaAnswer(Outcome.TOO_LARGE, Duration.ZERO);
 
-    /** Nobody who owns the bucket answered. */
+    /** No owner of the bucket answered. */
     public static final QuotaAnswer NO_OWNER = new QuotaAnswer(Outcome.NO_OWNER, Duration.ZERO);
 
     /**
-     * Tells that the limit is used up.
+     * Creates the answer for a limit that is used up.
      *
-     * @param comeBackAfter when there is expected to be room
+     * @param comeBackAfter time after which capacity is expected
      * @return the answer
      */
     public static QuotaAnswer exceeded(Duration comeBackAfter) {
@@ -52,9 +53,9 @@
     }
 
     /**
-     * Tells whether the units may be used.
+     * Returns whether the units may be used.
      *
-     * @return true if so
+     * @return true if granted, with or without the owner
      */
     public boolean isGranted() {
         return outcome == Outcome.GRANTED || outcome == Outcome.GRANTED_OFFLINE;
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaAsk.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaAsk.java
@@ -6,15 +6,19 @@
 package org.orchidmount.quota;
 
 /**
- * A question of an instance to the owner of a key's bucket. Immutable.
+ * Request of an instance to the owner of a bucket for units. Immutable.
  *
- * @param key what is limited
- * @param limit the limit as the asking instance knows it
- * @param version the version of the table that states the limit
- * @param units how much is to be used, at least 0
+ * @param key key of the bucket
+ * @param limit limit as the requesting instance knows it
+ * @param version version of the table that states the limit
+ * @param units number of units requested, at least 0
  */
 public record QuotaAsk(String key, QuotaLimit limit, long version, long units) {
-    /** Checks the units. */
+    /**
+     * Creates a request.
+     *
+     * @throws IllegalArgumentException if the units are negative
+     */
     public QuotaAsk {
         if (units < 0) {
             throw new IllegalArgumentException("units is " + units + ", below 0");
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaLimit.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaLimit.java
@@ -8,16 +8,20 @@
 import java.time.Duration;
 
 /**
- * What a key may use over all instances. Immutable.
+ * Limit on the use of a key, summed over all instances. Immutable.
  *
- * @param ratePerSecond units a second, above 0
+ * @param ratePerSecond units per second, above 0
  * @param burst units that may be used at once beyond the rate, above 0
- * @param tolerance units by which a window may exceed the rate and the burst, at least 0: what is
- *     left for instances that do not know of each other's grants
- * @param window the span over which use is counted, above 0
+ * @param tolerance units by which the use in a window may exceed rate and burst, at least 0;
+ *     available to instances that do not know of each other's grants
+ * @param window period over which use is counted, above 0
  */
 public record QuotaLimit(double ratePerSecond, double burst, double tolerance, Duration window) {
-    /** Checks the fields. */
+    /**
+     * Creates a limit.
+     *
+     * @throws IllegalArgumentException if a value is out of range or not finite
+     */
     public QuotaLimit {
         require("ratePerSecond", ratePerSecond, ratePerSecond > 0);
         require("burst", burst, burst > 0);
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaOwner.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaOwner.java
@@ -14,22 +14,23 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The buckets of all keys, at the one instance that holds the lease for them.
+ * The buckets of all keys, held by the one instance that has the lease.
  *
- * <p>A bucket is filled at the rate of its key up to the burst. A request is granted while the
- * bucket is above zero, and may take it below: so a large request is granted as often as a small
- * one, which it would not be if the bucket had to hold it whole, and a window exceeds the limit by
- * one request at most.
+ * <p>A bucket is refilled at the rate of its key up to the burst. A request is granted while the
+ * bucket is above zero, and may take it below zero. Large requests are thus granted as often as
+ * small ones, which would not be so if the bucket had to hold the whole request, and the use in a
+ * window exceeds the limit by at most one request.
  *
- * <p>Invariants: what is granted in any window stays below rate, burst and one request, for as long
- * as one lease lasts. A new lease begins with a part of the tolerance and not with the burst, since
- * nothing is known of what was granted under the one before. Not thread-safe; time is passed in.
+ * <p>Invariants: the units granted in any window stay below rate, burst and one request for as long
+ * as one lease lasts. Under a new lease a bucket begins with a share of the tolerance instead of
+ * the burst, since the grants under the previous lease are not known. Not thread-safe; callers pass
+ * the time in.
  */
 public final class QuotaOwner {
-    /** The longest time to come back; callers rarely wait for more. */
+    /** Upper bound of the retry time; callers rarely wait longer. */
     private static final double MOST_WAIT_SECONDS = 8;
 
-    /** Looks at the buckets between two searches for those that are of no use. */
+    /** Number of requests between two removals of buckets that are equal to new ones. */
     private static final int SWEEP_ASKS = 4_096;
 
     private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
@@ -40,25 +41,25 @@
     private long mFormerNanos;
     private int mAsks;
 
-    /** The state of one key. */
+    /** Token bucket of one key. */
     private static final class Bucket {
         private QuotaLimit mLimit;
         private long mVersion;
 
-        /** Units that may be used now; below zero after a large request. */
+        /** Units available now; below zero after a large request. */
         private double mUnits;
 
-        /** Units refused lately, less what the rate has let come back since. */
+        /** Recently refused units, less those that the rate has refilled since. */
         private double mRefusedUnits;
 
         private long mAtNanos;
 
-        /** What was granted and refused since {@link #takeUses} last told so. */
+        /** Units granted since the last call of {@link #takeUses}. */
         private long mGrantedUnits;
 
         private int mGranted;
 
-        /** Questions granted since the bucket was made. */
+        /** Requests granted since the bucket was created. */
         private long mGrantedInAll;
 
         private int mRefused;
@@ -85,7 +86,7 @@
             return use;
         }
 
-        /** Refused requests are told to come back one after the other, as the rate has room. */
+        /** Staggers the retry times of refused requests at the rate of the key. */
         private Duration refuse(long units) {
             mRefused++;
             mRefusedUnits += units;
@@ -96,11 +97,13 @@
     }
 
     /**
-     * Notes under which lease the next questions are answered. A new one forgets all buckets.
+     * Sets the lease under which the following requests are answered. A new lease discards all
+     * buckets.
      *
-     * @param lease the number of the lease; it rises with each holder
-     * @param formerNanos since when there was no more than one other lease, as far as is known here
-     * @param nowNanos the monotonic time
+     * @param lease number of the lease, which increases with each holder
+     * @param formerNanos monotonic time since when at most one other lease has existed, as far as
+     *     this instance knows
+     * @param nowNanos monotonic time
      */
     public void hold(long lease, long formerNanos, long nowNanos) {
         if (lease != mLease) {
@@ -112,11 +115,11 @@
     }
 
     /**
-     * Answers a question under the lease.
+     * Answers a request under the lease.
      *
-     * @param ask the question
-     * @param nowNanos the monotonic time, not before that of the call before
-     * @return granted, or when to come back
+     * @param ask the request
+     * @param nowNanos monotonic time, not before that of the previous call
+     * @return granted, too large, or exceeded with the time to retry after
      */
     public QuotaAnswer ask(QuotaAsk ask, long nowNanos) {
         sweep(nowNanos);
@@ -135,11 +138,11 @@
     }
 
     /**
-     * Takes back units that were granted and not used.
+     * Returns units to the bucket that were granted and not used.
      *
-     * @param key what is limited
-     * @param units how many
-     * @param nowNanos the monotonic time
+     * @param key key of the bucket; ignored if it has none
+     * @param units number of units
+     * @param nowNanos monotonic time
      */
     public void giveBack(String key, long units, long nowNanos) {
         Bucket bucket = mBuckets.get(key);
@@ -150,10 +153,10 @@
     }
 
     /**
-     * Tells how many questions were granted under this lease.
+     * Returns the number of requests granted under this lease.
      *
-     * @param key what is limited
-     * @return a count; 0 for a key that nobody has asked for lately
+     * @param key key of the bucket
+     * @return number of requests; 0 for a key that was not requested recently
      */
     public long granted(String key) {
         Bucket bucket = mBuckets.get(key);
@@ -161,9 +164,10 @@
     }
 
     /**
-     * Tells what was granted and refused since the last call, of keys that were refused anything.
+     * Returns and resets what was granted and refused since the last call, for keys with at least
+     * one refusal.
      *
-     * @return their use
+     * @return use per key
      */
     public List<QuotaUse> takeUses() {
         List<QuotaUse> uses = new ArrayList<>();
@@ -177,7 +181,7 @@
         return uses;
     }
 
-    /** A key that was not asked for yet has been filled since the lease began. */
+    /** Creates a bucket that counts as refilled since the lease began. */
     private Bucket newBucket(QuotaAsk ask) {
         Bucket bucket = new Bucket();
         bucket.mLimit = ask.limit();
@@ -187,13 +191,13 @@
         return bucket;
     }
 
-    /** Only what no window holds twice may be large. */
+    /** Returns the larger share only for the first change of the lease within a window. */
     private double startShare(QuotaAsk ask) {
         boolean isFirst = mLeaseNanos - mFormerNanos >= ask.limit().window().toNanos();
         return isFirst ? QuotaTolerance.FIRST_START_SHARE : QuotaTolerance.NEXT_START_SHARE;
     }
 
-    /** The newest table counts, also for instances that do not have it yet. */
+    /** Applies the limit of the newest table, also to instances that do not have that table yet. */
     private static void adopt(Bucket bucket, QuotaAsk ask) {
         if (ask.version() > bucket.mVersion) {
             bucket.mVersion = ask.version();
@@ -201,7 +205,7 @@
         }
     }
 
-    /** Forgets buckets that a new one would equal. */
+    /** Removes the buckets that are equal to newly created ones. */
     private void sweep(long nowNanos) {
         if (++mAsks % SWEEP_ASKS != 0) {
             return;
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaOwnerClient.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaOwnerClient.java
@@ -7,22 +7,22 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** Reaches the instance that owns the buckets. Implementations are thread-safe. */
+/** Client of the instance that owns the buckets. Implementations are thread-safe. */
 public interface QuotaOwnerClient {
     /**
-     * Asks the owner for units. If the answer comes after the future was completed otherwise, the
-     * units are given back.
+     * Requests units from the owner. If the answer arrives after the future was completed by
+     * someone else, the units are returned.
      *
-     * @param ask what is to be used
-     * @return the answer; it may never come
+     * @param ask the request
+     * @return future answer, which may never be completed
      */
     CompletableFuture<QuotaAnswer> askOwner(QuotaAsk ask);
 
     /**
-     * Gives units back that the owner granted and that were not used.
+     * Returns units that the owner granted and that were not used.
      *
-     * @param key what is limited
-     * @param units how many
+     * @param key key of the bucket
+     * @param units number of units
      */
     void giveBack(String key, long units);
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaReserve.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaReserve.java
@@ -11,20 +11,20 @@
 import java.util.Map;
 
 /**
- * What a voter that does not hold the lease may grant while the one that does is silent: its part
- * of {@link QuotaTolerance#RESERVE_SHARE} of the tolerance. Until another holds the lease, up to
- * 1.4 s, callers within their limits are served by it.
+ * Units that a voter without the lease may grant while the lease holder does not answer: its share
+ * of {@link QuotaTolerance#RESERVE_SHARE} of the tolerance. It serves callers within their limits
+ * until another voter holds the lease, which takes up to 1.4 s.
  *
  * <p>Invariant: in any window all voters together grant no more than that share, whichever of them
- * are cut off, or restart: one that has just started grants nothing for a window, since nothing is
- * known of what it granted before. Not thread-safe; time is passed in.
+ * are partitioned or restart. A voter that has just started grants nothing for one window, since
+ * its earlier grants are not known. Not thread-safe; callers pass the time in.
  */
 public final class QuotaReserve {
     private final Map<String, Grants> mGrants = new HashMap<>();
     private final long mStartNanos;
     private final boolean mIsFirstStart;
 
-    /** What was granted of one key within a window. */
+    /** Units granted for one key within a window. */
     private static final class Grants {
         private final Deque<Grant> mNewestLast = new ArrayDeque<>();
         private long mSum;
@@ -44,11 +44,11 @@
     private record Grant(long units, long atNanos) {}
 
     /**
-     * Creates a reserve of which nothing was granted.
+     * Creates a reserve from which nothing has been granted.
      *
-     * @param isFirstStart whether the whole site starts for the first time, so that nothing was
-     *     granted before
-     * @param nowNanos the monotonic time
+     * @param isFirstStart whether the whole site starts for the first time, so that there are no
+     *     earlier grants
+     * @param nowNanos monotonic time
      */
     public QuotaReserve(boolean isFirstStart, long nowNanos) {
         mIsFirstStart = isFirstStart;
@@ -56,12 +56,12 @@
     }
 
     /**
-     * Answers a question without the lease.
+     * Answers a request without the lease.
      *
-     * @param ask the question
-     * @param voters how many voters there are, at least 1
-     * @param nowNanos the monotonic time, not before that of the call before
-     * @return granted, or that an owner is needed
+     * @param ask the request
+     * @param voters number of voters, at least 1
+     * @param nowNanos monotonic time, not before that of the previous call
+     * @return granted offline, or that an owner is needed
      */
     public QuotaAnswer ask(QuotaAsk ask, int voters, long nowNanos) {
         long windowNanos = ask.limit().window().toNanos();
@@ -78,7 +78,7 @@
         return QuotaAnswer.GRANTED_OFFLINE;
     }
 
-    /** Keys come and go with tables; those of which nothing was granted lately are not kept. */
+    /** Drops keys without recent grants, since keys come and go with table versions. */
     private Grants grants(QuotaAsk ask, long nowNanos) {
         Grants grants = mGrants.get(ask.key());
         if (grants == null) {
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaUse.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaUse.java
@@ -6,14 +6,14 @@
 package org.orchidmount.quota;
 
 /**
- * What the owner granted and refused of one key since it last told so. Immutable.
+ * What the owner granted and refused for one key since its previous report. Immutable.
  *
- * @param key what is limited
- * @param limit the limit that was applied
- * @param version the version of the table that states it
- * @param grantedUnits units granted, those given back included
- * @param granted questions granted
- * @param refused questions refused
+ * @param key key of the bucket
+ * @param limit limit that was applied
+ * @param version version of the table that states the limit
+ * @param grantedUnits units granted, including those returned unused
+ * @param granted number of requests granted
+ * @param refused number of requests refused
  */
 public record QuotaUse(
         String key, QuotaLimit limit, long version, long grantedUnits, int granted, int refused) {}
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/SharedQuota.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/SharedQuota.java
@@ -21,18 +21,19 @@
     /**
      * Creates a quota.
      *
-     * @param owner reaches the owner
+     * @param owner client of the owner
      */
     public SharedQuota(QuotaOwnerClient owner) {
         mOwner = owner;
     }
 
     /**
-     * Takes units. If the owner is silent, others that may grant some are asked.
+     * Takes units. If the owner does not answer, the request is repeated once, and voters without
+     * the lease may grant it.
      *
-     * @param ask what is to be used
-     * @param longest how long each of the two answers is waited for
-     * @return granted; or not, and when to come back
+     * @param ask the request
+     * @param longest timeout of each of the two attempts
+     * @return granted; or not, with the time to retry after
      * @throws InterruptedException if the thread is interrupted
      */
     public QuotaAnswer take(QuotaAsk ask, Duration longest) throws InterruptedException {
@@ -50,7 +51,7 @@
         try {
             return answer.get(longest.toNanos(), TimeUnit.NANOSECONDS);
         } catch (TimeoutException e) {
-            // An answer that comes just now counts; one that comes later is given back.
+            // An answer that arrived meanwhile counts; the units of a later one are returned.
             answer.complete(QuotaAnswer.NO_OWNER);
             return answer.join();
         } catch (ExecutionException e) {
@@ -59,11 +60,11 @@
     }
 
     /**
-     * Gives units back that were taken and not used. What was taken without the owner is not: its
-     * bucket never held it.
+     * Returns units that were taken and not used. Units granted without the owner are not returned,
+     * because its bucket never counted them.
      *
-     * @param ask what was taken
-     * @param answer how it was granted
+     * @param ask the request that took the units
+     * @param answer the answer that granted them
      */
     public void giveBack(QuotaAsk ask, QuotaAnswer answer) {
         if (answer.outcome() == QuotaAnswer.Outcome.GRANTED) {
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/package-info.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/package-info.java
@@ -4,10 +4,12 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 /**
- * Limits that all instances share: how much a key may use in any window, over all of them.
+ * Rate limits that all instances share: how much a key may use in any window, summed over all
+ * instances.
  *
- * <p>Owns the buckets ({@code QuotaOwner}, at the one instance that holds the lease) and what
- * others may grant while that one is silent ({@code QuotaReserve}). A key is any name; nothing here
- * knows of accounts, messages or links. Time is passed in.
+ * <p>{@code QuotaOwner} holds the buckets, at the one instance that holds the lease. {@code
+ * QuotaReserve} decides what the other voters may grant while the lease holder does not answer. A
+ * key is an arbitrary name; this package does not depend on accounts, messages or connections.
+ * Callers pass the time in.
  */
 package org.orchidmount.quota;
