--- a/org.orchidmount/src/main/java/org/orchidmount/membership/Incarnation.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/membership/Incarnation.java
@@ -8,31 +8,31 @@
 import java.util.OptionalLong;
 
 /**
- * One start of an upstream and all that follows until the next: its identity, and the time at which
- * it started, as the upstream states it. An upstream may start again under the identity that it
- * had. It then knows nothing of before, and what was known of it is no longer true. Immutable.
+ * One lifetime of an upstream, from a start to the next: its identity, and the start time that the
+ * upstream states. An upstream may restart under the same identity. It has then lost its state, and
+ * what was known of it no longer holds. Immutable.
  *
- * <p>The order of the starts of one identity:
+ * <p>Order of the incarnations of one identity:
  *
  * <ul>
- *   <li>A newer start ends the older incarnation at once and for good.
- *   <li>An older start changes nothing: it is a late message, or comes from an instance that lags.
- *   <li>An equal start is the same incarnation; the sequence of its messages decides between them,
- *       and one whose sequence is lower came late.
- *   <li>A start that is not stated is older than any that is. So an instance that does not pass
- *       starts on, or an upstream that states none, neither ends an incarnation whose start is
- *       known nor brings one back that has ended. The first start that is stated takes the place of
- *       what states none, but proves no end: what was under way goes on. Two that state none are
- *       the same incarnation.
+ *   <li>A newer start ends the older incarnation immediately and permanently.
+ *   <li>An older start is ignored: it comes from a delayed message, or from an instance that lags.
+ *   <li>Equal starts denote the same incarnation; its messages are ordered by their sequence
+ *       numbers, and one with a lower sequence number is late.
+ *   <li>An unstated start is older than any stated one. An instance that does not forward starts,
+ *       or an upstream that states none, therefore neither ends an incarnation with a known start
+ *       nor revives one that has ended. The first stated start replaces an unstated one but does
+ *       not prove that an incarnation ended, so work in progress continues. Two unstated starts
+ *       denote the same incarnation.
  * </ul>
  *
- * <p>Starts are compared with each other only, never with a clock of this system: the clocks of two
- * machines differ by any amount. The price: a start stated too far in the future counts as newer
- * than the true ones that follow. It holds until the departure of the upstream is received and it
- * is forgotten by {@link Registry}; after that any start is taken.
+ * <p>Starts are only compared with each other, never with a local clock, since the clocks of two
+ * machines may differ by any amount. As a consequence, a start that is stated too far in the future
+ * counts as newer than the correct ones that follow, until the departure of the upstream has been
+ * received and {@link Registry} has removed it; after that any start is accepted.
  */
 public final class Incarnation {
-    /** Less than any start that can be stated. */
+    /** Sorts below every start that can be stated. */
     private static final long NOT_STATED = -1;
 
     private final String mId;
@@ -44,10 +44,10 @@
     }
 
     /**
-     * Creates one whose start is stated.
+     * Creates an incarnation with a stated start.
      *
-     * @param id the identity of the upstream
-     * @param startMillis its start in Unix milliseconds by its own clock, at least 0
+     * @param id identity of the upstream
+     * @param startMillis start in Unix milliseconds by the upstream's clock, at least 0
      * @return the incarnation
      * @throws IllegalArgumentException if the start is negative
      */
@@ -61,9 +61,9 @@
     }
 
     /**
-     * Creates one whose start is not stated.
+     * Creates an incarnation without a stated start.
      *
-     * @param id the identity of the upstream
+     * @param id identity of the upstream
      * @return the incarnation
      */
     public static Incarnation ofUnstatedStart(String id) {
@@ -71,7 +71,7 @@
     }
 
     /**
-     * Returns the identity of the upstream, which later incarnations may have too.
+     * Returns the identity of the upstream, which its later incarnations may share.
      *
      * @return the identity
      */
@@ -80,39 +80,39 @@
     }
 
     /**
-     * Returns when it started.
+     * Returns the start time.
      *
-     * @return Unix milliseconds by the upstream's own clock; nothing if the start is not stated
+     * @return Unix milliseconds by the upstream's clock; empty if the start is not stated
      */
     public OptionalLong startMillis() {
         return isStartStated() ? OptionalLong.of(mStartMillis) : OptionalLong.empty();
     }
 
     /**
-     * Tells whether the start is stated.
+     * Returns whether the upstream has stated its start.
      *
-     * @return true if it is
+     * @return true if the start is known
      */
     public boolean isStartStated() {
         return mStartMillis != NOT_STATED;
     }
 
     /**
-     * Tells whether this takes the place of another incarnation of the same identity.
+     * Returns whether this incarnation replaces another one of the same identity.
      *
      * @param other the other incarnation
-     * @return true if both have one identity and this start is newer
+     * @return true if both share an identity and this start is newer
      */
     public boolean isNewerThan(Incarnation other) {
         return mId.equals(other.mId) && mStartMillis > other.mStartMillis;
     }
 
     /**
-     * Tells whether this start proves that another incarnation of the same identity has ended, so
-     * that what was known of that is no longer true.
+     * Returns whether this start proves that another incarnation of the same identity has ended, so
+     * that what was known of it no longer holds.
      *
      * @param other the other incarnation
-     * @return true if this start is newer than one that is stated
+     * @return true if the other start is stated and this one is newer
      */
     public boolean provesEndOf(Incarnation other) {
         return other.isStartStated() && isNewerThan(other);
@@ -130,7 +130,7 @@
         return 31 * mId.hashCode() + Long.hashCode(mStartMillis);
     }
 
-    /** Returns the identity, and the start if it is stated, for logs. */
+    /** Returns the identity, followed by the start if it is stated, for logs. */
     @Override
     public String toString() {
         return isStartStated() ? mId + "@" + mStartMillis : mId;
--- a/org.orchidmount/src/main/java/org/orchidmount/membership/Registration.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/membership/Registration.java
@@ -6,16 +6,16 @@
 package org.orchidmount.membership;
 
 /**
- * What an upstream last said of itself. Immutable.
+ * Most recent state that an upstream has reported of itself. Immutable.
  *
- * @param incarnation which start of the upstream says so
- * @param service the service it belongs to
+ * @param incarnation incarnation that sent the report
+ * @param service service to which the upstream belongs
  * @param address host and port
- * @param zone its availability zone
- * @param slots the requests it works on at once
- * @param stage the part it plays between prompt and answer
- * @param state whether it takes new work
- * @param sequence rises with each message of the same incarnation
+ * @param zone availability zone
+ * @param slots maximum number of concurrent requests
+ * @param stage stage of prompt serving that the upstream performs
+ * @param state whether the upstream accepts new work
+ * @param sequence number that increases with each message of the same incarnation
  */
 public record Registration(
         Incarnation incarnation,
@@ -27,40 +27,40 @@
         State state,
         long sequence) {
 
-    /** The part of an upstream in serving a prompt. */
+    /** Stage of prompt serving that an upstream performs. */
     public enum Stage {
-        /** A plain service. */
+        /** Plain service without prompt stages. */
         NONE,
-        /** Reads prompts. */
+        /** Processes prompts. */
         PREFILL,
-        /** Makes tokens. */
+        /** Generates tokens. */
         DECODE
     }
 
     /**
-     * Whether an upstream takes new work. A later state is followed by an earlier one only in
-     * another incarnation.
+     * Whether an upstream accepts new work. Within one incarnation the state only moves forward in
+     * the order of the constants.
      */
     public enum State {
-        /** Takes work. */
+        /** Accepts new work. */
         READY,
-        /** Finishes what it has. */
+        /** Finishes its work in progress and accepts no more. */
         DRAINING,
         /** Has left. */
         GONE
     }
 
     /**
-     * Creates what an upstream says that states no start.
+     * Creates a registration of an upstream that states no start.
      *
-     * @param id the identity of the upstream
-     * @param service the service it belongs to
+     * @param id identity of the upstream
+     * @param service service to which the upstream belongs
      * @param address host and port
-     * @param zone its availability zone
-     * @param slots the requests it works on at once
-     * @param stage the part it plays between prompt and answer
-     * @param state whether it takes new work
-     * @param sequence rises with each message
+     * @param zone availability zone
+     * @param slots maximum number of concurrent requests
+     * @param stage stage of prompt serving that the upstream performs
+     * @param state whether the upstream accepts new work
+     * @param sequence number that increases with each message
      */
     public Registration(
             String id,
@@ -83,7 +83,7 @@
     }
 
     /**
-     * Returns the identity of the upstream, which later incarnations may have too.
+     * Returns the identity of the upstream, which its later incarnations may share.
      *
      * @return the identity
      */
@@ -92,10 +92,10 @@
     }
 
     /**
-     * Returns a copy that is said by another incarnation.
+     * Returns a copy with another incarnation.
      *
      * @param other the incarnation
-     * @return the registration
+     * @return the copy
      */
     public Registration by(Incarnation other) {
         return new Registration(other, service, address, zone, slots, stage, state, sequence);
@@ -105,7 +105,7 @@
      * Returns a copy in another state.
      *
      * @param changed the state
-     * @return the registration
+     * @return the copy
      */
     public Registration in(State changed) {
         return new Registration(
@@ -113,11 +113,11 @@
     }
 
     /**
-     * Merges two messages of the same upstream. Of two incarnations the one with the newer start
-     * counts alone. Within one the newer message counts, but what has begun to leave never comes
-     * back.
+     * Merges two registrations of the same upstream. Of two incarnations only the one with the
+     * newer start counts. Within an incarnation the newer message wins, but a state never goes
+     * back: an upstream that has begun to leave does not return.
      *
-     * @param other the other message
+     * @param other the other registration
      * @return the merged registration
      */
     public Registration merge(Registration other) {
@@ -133,10 +133,10 @@
     }
 
     /**
-     * Tells whether another message says the same but for its number.
+     * Returns whether another registration is equal to this one except for its sequence number.
      *
-     * @param other the other message
-     * @return true if nothing but the sequence differs
+     * @param other the other registration
+     * @return true if at most the sequence numbers differ
      */
     public boolean saysSame(Registration other) {
         return incarnation.equals(other.incarnation)
--- a/org.orchidmount/src/main/java/org/orchidmount/membership/Registry.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/membership/Registry.java
@@ -14,12 +14,12 @@
 import org.orchidmount.membership.Registration.State;
 
 /**
- * The registrations known to one instance.
+ * Registrations known to one instance.
  *
- * <p>Of each identity only the incarnation with the newest start is held; what comes of an older
- * one changes nothing, nor does it count as received of the one held. Merging is commutative and
- * idempotent, so instances that have exchanged their registrations in any order hold the same.
- * Those that left are remembered for a while, so that a late message does not bring them back. Not
+ * <p>For each identity only the incarnation with the newest start is held. Messages of an older one
+ * are ignored, and do not count as received from the one held. Merging is commutative and
+ * idempotent, so instances that have exchanged their registrations in any order hold the same set.
+ * Departed upstreams are retained for a while, so that a late message does not revive them. Not
  * thread-safe.
  */
 public final class Registry {
@@ -31,7 +31,7 @@
     /**
      * Creates an empty registry.
      *
-     * @param rememberNanos how long those that left are remembered
+     * @param rememberNanos how long departed upstreams are retained
      */
     public Registry(long rememberNanos) {
         mRememberNanos = rememberNanos;
@@ -41,8 +41,8 @@
      * Merges a registration.
      *
      * @param message the registration
-     * @param nowNanos the monotonic time
-     * @return the registration now held if the message changed what it says, else nothing
+     * @param nowNanos monotonic time
+     * @return the registration now held if it changed in more than the sequence number, else empty
      */
     public Optional<Registration> merge(Registration message, long nowNanos) {
         Entry held = mEntries.get(message.id());
@@ -59,13 +59,13 @@
     }
 
     /**
-     * Merges the word of an upstream that it leaves, which another instance has just received. If
-     * it states no start, since it names only the identity or that instance passes no starts on, it
-     * is meant for the incarnation held now, as in {@link #leave}.
+     * Merges the notice of a departure that another instance has just received. A notice without a
+     * start, either because it names only the identity or because that instance does not forward
+     * starts, applies to the incarnation held now, as in {@link #leave}.
      *
      * @param leaving the registration
-     * @param nowNanos the monotonic time
-     * @return the registration now held if the message changed what it says, else nothing
+     * @param nowNanos monotonic time
+     * @return the registration now held if it changed in more than the sequence number, else empty
      */
     public Optional<Registration> depart(Registration leaving, long nowNanos) {
         Entry held = mEntries.get(leaving.id());
@@ -76,12 +76,13 @@
     }
 
     /**
-     * Notes that an upstream leaves, of which nothing else may be known. The word names only the
-     * identity, so it ends the incarnation held now. One with a newer start takes its place; if no
-     * start was known, one with any start does, since it may have started later.
+     * Records the departure of an upstream of which nothing else may be known. The notice names
+     * only the identity, so it ends the incarnation held now. An incarnation with a newer start
+     * replaces the departed one; if no start was known, any stated start does, since that
+     * incarnation may have started later.
      *
-     * @param id its identity
-     * @param nowNanos the monotonic time
+     * @param id identity of the upstream
+     * @param nowNanos monotonic time
      * @return the registration now held
      */
     public Registration leave(String id, long nowNanos) {
@@ -96,17 +97,17 @@
     }
 
     /**
-     * Finds a registration.
+     * Returns the registration of an upstream.
      *
-     * @param id the upstream's identity
-     * @return what it last said, or nothing
+     * @param id identity of the upstream
+     * @return its registration, or empty if unknown
      */
     public Optional<Registration> find(String id) {
         return Optional.ofNullable(mEntries.get(id)).map(Entry::registration);
     }
 
     /**
-     * Returns all registrations, those that left too, the ones received last at the end.
+     * Returns all registrations, including departed upstreams, the most recently received last.
      *
      * @return a copy
      */
@@ -118,7 +119,7 @@
     }
 
     /**
-     * Returns the departures of which no more is known than the identity.
+     * Returns the departed upstreams whose start is not known.
      *
      * @return a copy
      */
@@ -131,10 +132,10 @@
     }
 
     /**
-     * Returns the registrations received last within a time.
+     * Returns the registrations that were last received within a period.
      *
-     * @param fromNanos the monotonic time from which on they must have been received
-     * @param beforeNanos the monotonic time before which they must have been received
+     * @param fromNanos monotonic start of the period, inclusive
+     * @param beforeNanos monotonic end of the period, exclusive
      * @return a copy
      */
     public List<Registration> heardBetween(long fromNanos, long beforeNanos) {
@@ -149,9 +150,9 @@
     }
 
     /**
-     * Forgets those that left long ago.
+     * Removes departed upstreams whose retention has ended.
      *
-     * @param nowNanos the monotonic time
+     * @param nowNanos monotonic time
      */
     public void forgetOld(long nowNanos) {
         mEntries.values()
--- a/org.orchidmount/src/main/java/org/orchidmount/membership/package-info.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/membership/package-info.java
@@ -3,5 +3,5 @@
  *
  * SPDX-License-Identifier: Apache-2.0
  */
-/** Upstreams that register themselves, and how their registrations merge between instances. */
+/** Registrations of upstreams, and how they are merged between instances. */
 package org.orchidmount.membership;
