--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/ConnectProbe.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/ConnectProbe.java
@@ -15,33 +15,34 @@
 import org.orchidmount.internal.log.PartLog;
 
 /**
- * Probes by a connection that carries nothing. Immutable and thread-safe.
+ * Probes an upstream by opening a TCP connection without sending data. Immutable and thread-safe.
  *
- * <p>Something that listens is looked at again: the sockets of a process that ends are closed one
- * after the other, so its port may still be open when its connections have broken. An end that was
- * missed for that would not count, and the request would go on to end another upstream.
+ * <p>A successful connection is repeated: the sockets of a terminating process are closed one after
+ * the other, so its port may still be open when its connections have already broken. If the
+ * termination were missed for that reason, the crash would not be counted, and the request would go
+ * on to crash another upstream.
  */
 public final class ConnectProbe implements EndProbe {
     private static final PartLog LOG = PartLog.of("crash");
 
-    /** Looks at a port that stays open; the last one decides. */
+    /** Connection attempts to a port that stays open; the last one decides. */
     private static final int LOOKS = 3;
 
-    /** Between two looks: far more than the closing of a process's sockets takes. */
+    /** Time between two attempts, far longer than it takes to close the sockets of a process. */
     private static final Duration PAUSE = Duration.ofMillis(20);
 
-    /** A request waits for it before it is tried again; far more than a round trip. */
+    /** Delays the retry of a request; far longer than a round trip. */
     private static final Duration TIMEOUT = Duration.ofMillis(100);
 
     private final Pauser mPauser;
 
-    /** Waits between two looks; replaced by tests. */
+    /** Sleeps between two attempts; replaced in tests. */
     @FunctionalInterface
     interface Pauser {
         void pause(Duration time);
     }
 
-    /** Creates a probe that waits in real time. */
+    /** Creates a probe that sleeps in real time. */
     public ConnectProbe() {
         this(pause -> LockSupport.parkNanos(pause.toNanos()));
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/ConnectionWatch.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/ConnectionWatch.java
@@ -15,14 +15,14 @@
 import org.orchidmount.internal.log.PartLog;
 
 /**
- * Watches by a connection that carries nothing: it breaks when the process at its other end does.
- * One that is closed while something still listens was closed for its idleness. Immutable and
- * thread-safe.
+ * Watches an upstream through an idle TCP connection, which breaks when the process at the other
+ * end terminates. A connection that is closed while the port still accepts connections was closed
+ * because it was idle. Immutable and thread-safe.
  */
 public final class ConnectionWatch implements EndWatch {
     private static final PartLog LOG = PartLog.of("crash");
 
-    /** Far more than a round trip within a site. */
+    /** Far longer than a round trip within a site. */
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(100);
 
     private final EndProbe mProbe;
@@ -30,7 +30,8 @@
     /**
      * Creates a watch.
      *
-     * @param probe tells whether anything listens once the connection is closed
+     * @param probe determines whether the port still accepts connections after the connection was
+     *     closed
      */
     public ConnectionWatch(EndProbe probe) {
         mProbe = probe;
@@ -53,7 +54,7 @@
         }
     }
 
-    /** Waits until the other side closes the connection, or the socket's timeout is over. */
+    /** Blocks until the peer closes the connection or the socket timeout expires. */
     private static boolean isClosed(Socket socket) {
         try {
             return socket.getInputStream().read() < 0;
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashAnnouncer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashAnnouncer.java
@@ -5,14 +5,14 @@
  */
 package org.orchidmount.quarantine;
 
-/** Passes crash records on to the other instances. Thread-safe. */
+/** Distributes crash records to the other instances. Thread-safe. */
 @FunctionalInterface
 public interface CrashAnnouncer {
     /**
-     * Passes a record on to the instances that can be reached, and to others once they can. Returns
-     * at once.
+     * Sends a record to the instances that are reachable, and to the others once they are. Does not
+     * block.
      *
-     * @param record a record that this instance's registry holds
+     * @param record a record that the registry of this instance holds
      */
     void announce(CrashRecord record);
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashRecord.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashRecord.java
@@ -6,50 +6,60 @@
 package org.orchidmount.quarantine;
 
 /**
- * How many upstreams in a row have crashed while they ran a request. Immutable.
+ * Number of consecutive upstream crashes while a request was running. Immutable.
  *
- * <p>The rule: a request is quarantined after {@link #QUARANTINE_AFTER} crashes at the same place
- * of its output, or {@link #QUARANTINE_AFTER_ANYWHERE} at any. Each run must have begun when the
- * crashes before were known. So a request that is at work when an upstream crashes for another
- * reason is cleared or spared:
+ * <p>A request is quarantined after {@link #QUARANTINE_AFTER} crashes at the same position of its
+ * output, or after {@link #QUARANTINE_AFTER_ANYWHERE} at any positions. Each of these runs must
+ * have begun when the previous crashes were already known. A request that is running while an
+ * upstream crashes for another reason is therefore cleared or spared:
  *
  * <ul>
- *   <li>a run to its end clears it; a request that crashes its upstreams never has one;
- *   <li>crashes that others cause come at places that have nothing to do with each other, and
- *       mostly not before the first event;
- *   <li>runs that were under way at the same moment count once, however many upstreams a wider
- *       failure takes.
+ *   <li>a completed run clears it, and a request that crashes its upstreams never completes;
+ *   <li>crashes with another cause occur at unrelated positions, and mostly not before the first
+ *       event;
+ *   <li>runs that were in progress at the same time count once, however many upstreams a larger
+ *       failure affects.
  * </ul>
  *
- * <p>Records of one request merge to the one with the higher epoch, within an epoch to the one with
- * more crashes in all, then with more at one place, then to the one that got further. That is
- * commutative, associative and idempotent, so instances that have exchanged theirs in any order
- * hold the same.
+ * <p>Of two records of a request the merge keeps the one with the higher epoch, within an epoch the
+ * one with more crashes in total, then with more crashes at one position, then with the higher
+ * position. The merge is commutative, associative and idempotent, so instances that have exchanged
+ * their records in any order hold the same ones.
  *
- * @param fingerprint the request
- * @param epoch rises each time the request is cleared
- * @param crashes the crashes in a row since
- * @param crashesHere the latest of them that came at the same place
- * @param position that place: the last event of the output; 0 for none
+ * @param fingerprint fingerprint of the request
+ * @param epoch number that increases each time the request is cleared
+ * @param crashes consecutive crashes in this epoch
+ * @param crashesHere the most recent of these crashes that occurred at the same position
+ * @param position that position: the number of the last event of the output; 0 for none
  */
 public record CrashRecord(
         RequestFingerprint fingerprint, long epoch, int crashes, int crashesHere, long position) {
-    /** Crashes at one place after which a request is not run any more; the pages allow three. */
+    /**
+     * Crashes at one position after which a request is not run again; the specification allows
+     * three.
+     */
     public static final int QUARANTINE_AFTER = 3;
 
     /**
-     * Crashes at any places after which it is not run any more: in simulated days no request that
-     * crashes nothing comes to so many.
+     * Crashes at any positions after which a request is not run again. In simulated days of traffic
+     * no harmless request reaches this number.
      */
     public static final int QUARANTINE_AFTER_ANYWHERE = 6;
 
-    /** Events by which two runs may differ that crash at the same place. */
+    /** Events by which two runs that crash at the same position may differ. */
     private static final long POSITION_MARGIN = 1;
 
-    /** The share of its position by which a run may differ, as events hold several tokens. */
+    /**
+     * Divisor of the position for the additional margin of longer outputs, needed because an event
+     * may hold several tokens.
+     */
     private static final long POSITION_MARGIN_SHARE = 16;
 
-    /** Checks the ranges. */
+    /**
+     * Creates a record.
+     *
+     * @throws IllegalArgumentException if a number is negative
+     */
     public CrashRecord {
         if (epoch < 0 || crashes < 0 || crashesHere < 0 || position < 0) {
             throw new IllegalArgumentException(
@@ -60,9 +70,9 @@
     }
 
     /**
-     * Makes the record of a request of which no crash is known.
+     * Creates the record of a request without known crashes.
      *
-     * @param fingerprint the request
+     * @param fingerprint fingerprint of the request
      * @return the record
      */
     public static CrashRecord none(RequestFingerprint fingerprint) {
@@ -70,12 +80,12 @@
     }
 
     /**
-     * Counts the crash of an upstream that ran the request. This record is the one that was known
-     * when the run began.
+     * Adds the crash of an upstream that was running the request. This record must be the one that
+     * was known when the run began.
      *
-     * @param from where the run went on: the last event that the caller had; 0 for none
-     * @param at how far it had got
-     * @return the record with it
+     * @param from position at which the run resumed: the last event that the caller had; 0 for none
+     * @param at position that the run reached
+     * @return the record that includes the crash
      */
     public CrashRecord afterCrash(long from, long at) {
         int here = isHere(from, at) ? crashesHere + 1 : 1;
@@ -83,8 +93,8 @@
     }
 
     /**
-     * One that goes on where the crash before was is near that place from its beginning, so it is
-     * at the same place only if it has got no further at all.
+     * A run that resumes at the position of the previous crash is close to it from its beginning,
+     * so it crashes at the same position only if it made no progress at all.
      */
     private boolean isHere(long from, long at) {
         if (from > 0) {
@@ -97,17 +107,17 @@
     /**
      * Clears the request.
      *
-     * @return the record
+     * @return record of the next epoch, without crashes
      */
     public CrashRecord cleared() {
         return new CrashRecord(fingerprint, epoch + 1, 0, 0, 0);
     }
 
     /**
-     * Tells whether this takes the place of another record of the request.
+     * Returns whether this record replaces another record of the request.
      *
      * @param other the other record
-     * @return true if this is newer
+     * @return true if this one is newer
      */
     public boolean isNewerThan(CrashRecord other) {
         if (epoch != other.epoch) {
@@ -122,18 +132,18 @@
     }
 
     /**
-     * Tells whether the request is suspected: an upstream has crashed under it.
+     * Returns whether the request is suspected, that is, an upstream has crashed while running it.
      *
-     * @return false if it is cleared
+     * @return false if it has been cleared since
      */
     public boolean isSuspect() {
         return crashes > 0;
     }
 
     /**
-     * Tells whether the request must not be run.
+     * Returns whether the request must not be run.
      *
-     * @return true if too many upstreams have crashed under it
+     * @return true if too many upstreams have crashed while running it
      */
     public boolean isQuarantined() {
         return crashesHere >= QUARANTINE_AFTER || crashes >= QUARANTINE_AFTER_ANYWHERE;
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashRegistry.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashRegistry.java
@@ -20,17 +20,18 @@
 /**
  * The crash records that one instance holds.
  *
- * <p>Invariants: of each request the newest record is held; a quarantined request is forgotten only
- * when there are more than {@link #CAPACITY} records and no other gives way before it. Thread-safe.
+ * <p>Invariants: for each request the newest record is held; a quarantined request is evicted only
+ * when there are more than {@link #CAPACITY} records and no record of another kind is left to
+ * evict. Thread-safe.
  */
 public final class CrashRegistry {
-    /** Records held at most, some 64 bytes each. */
+    /** Maximum number of records, about 64 bytes each. */
     public static final int CAPACITY = 4_096;
 
-    /** A cleared request is remembered while older records of it may still be on their way. */
+    /** Retention of cleared requests, while older records of them may still be in transit. */
     private static final Duration REMEMBER_CLEARED = Duration.ofMinutes(10);
 
-    /** A suspected request that has not crashed again for this long is forgotten. */
+    /** Retention of suspected requests since their last crash. */
     private static final Duration REMEMBER_SUSPECT = Duration.ofHours(1);
 
     private final OrderedLock mLock = new OrderedLock(LockRank.QUARANTINE);
@@ -39,11 +40,11 @@
 
     private long mForgotNanos;
 
-    /** Read without the lock, so that requests pay nothing while no crash is known. */
+    /** Read without the lock, so that requests incur no cost while no crash is known. */
     private volatile boolean mIsEmpty = true;
 
     private record Held(CrashRecord record, long changedNanos) {
-        /** Orders what gives way first: cleared, then suspected, then quarantined; the oldest. */
+        /** Eviction order: cleared, then suspected, then quarantined; the oldest first. */
         static final Comparator<Held> GIVES_WAY =
                 Comparator.comparing((Held held) -> held.record.isQuarantined())
                         .thenComparing(held -> held.record.isSuspect())
@@ -58,7 +59,7 @@
     /**
      * Creates an empty registry.
      *
-     * @param clock tells how old records are
+     * @param clock clock for the age of records
      */
     public CrashRegistry(MonotonicClock clock) {
         mClock = clock;
@@ -66,18 +67,18 @@
     }
 
     /**
-     * Tells whether no crash is known.
+     * Returns whether no crash is known.
      *
-     * @return true if it holds no records
+     * @return true if the registry holds no records
      */
     public boolean isEmpty() {
         return mIsEmpty;
     }
 
     /**
-     * Finds the record of a request.
+     * Returns the record of a request.
      *
-     * @param fingerprint the request
+     * @param fingerprint fingerprint of the request
      * @return its record; one without crashes if none is held
      */
     public CrashRecord find(RequestFingerprint fingerprint) {
@@ -87,7 +88,7 @@
         }
     }
 
-    /** Once all is forgotten, requests need no fingerprints any more. */
+    /** Requests need no fingerprints once all records have expired. */
     private void forgetOldNowAndThen() {
         long nowNanos = mClock.nanoTime();
         if (nowNanos - mForgotNanos > REMEMBER_CLEARED.toNanos()) {
@@ -107,10 +108,10 @@
     }
 
     /**
-     * Merges records that were received or made here.
+     * Merges records that were received or created locally.
      *
      * @param records the records
-     * @return those that were new
+     * @return the records that replaced older ones
      */
     public List<CrashRecord> merge(Collection<CrashRecord> records) {
         try (OrderedLock.Held _ = mLock.hold()) {
@@ -129,10 +130,10 @@
     }
 
     /**
-     * Clears a request of which crashes are known.
+     * Clears a request with known crashes.
      *
-     * @param fingerprint the request
-     * @return the new record; nothing if none had to be cleared
+     * @param fingerprint fingerprint of the request
+     * @return the new record; empty if the request was not suspected
      */
     public Optional<CrashRecord> clear(RequestFingerprint fingerprint) {
         CrashRecord before = find(fingerprint);
@@ -162,7 +163,7 @@
     }
 
     /**
-     * Returns the records of the requests that must not be run.
+     * Returns the records of the quarantined requests.
      *
      * @return a copy
      */
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashReports.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashReports.java
@@ -18,21 +18,23 @@
 import org.orchidmount.membership.Registration;
 
 /**
- * What the requests of one instance report of crashes, and what they ask before they run.
+ * Receives the crash reports of the requests of one instance, and answers their queries before a
+ * run.
  *
- * <p>Invariant: a crash counts only once it is proved that the upstream has ended. Thread-safe.
+ * <p>Invariant: a crash is counted only once it is confirmed that the upstream has terminated.
+ * Thread-safe.
  */
 public final class CrashReports {
     private static final PartLog LOG = PartLog.of("crash");
 
     /**
-     * How long an upstream is watched after a run there was broken off: what crashes it does so
-     * within some tens of milliseconds of its begin, and what goes on longer without its caller is
-     * rare.
+     * How long an upstream is watched after a run on it was abandoned. A request that crashes its
+     * upstream does so within some tens of milliseconds of its start, and runs that continue
+     * without their caller for longer than this are rare.
      */
     static final Duration WATCH_FOR = Duration.ofMillis(600);
 
-    /** Upstreams watched at once at most; each costs a connection. */
+    /** Maximum number of upstreams watched concurrently; each takes one connection. */
     private static final int MOST_WATCHED = 256;
 
     private final CrashRegistry mRegistry;
@@ -47,14 +49,14 @@
     private final AtomicInteger mWatched = new AtomicInteger();
 
     /**
-     * Creates it without any reports.
+     * Creates an instance without any reports.
      *
      * @param registry holds the records
-     * @param announcer passes them on
-     * @param probe finds out whether an upstream has ended
-     * @param watch finds out whether an upstream ends
-     * @param turns gives turns over all instances
-     * @param clock tells how long a proof has been awaited
+     * @param announcer distributes the records
+     * @param probe determines whether an upstream has terminated
+     * @param watch waits for the termination of an upstream
+     * @param turns serializes suspected requests over all instances
+     * @param clock clock for the age of unconfirmed crashes
      */
     public CrashReports(
             CrashRegistry registry,
@@ -72,7 +74,7 @@
     }
 
     /**
-     * Tells whether no crash is known, so that nothing need be asked of any request.
+     * Returns whether no crash is known, so that requests need not be checked.
      *
      * @return true if no records are held
      */
@@ -81,20 +83,21 @@
     }
 
     /**
-     * Returns what is known of a request.
+     * Returns the record of a request.
      *
-     * @param fingerprint the request
-     * @return its record
+     * @param fingerprint fingerprint of the request
+     * @return its record; one without crashes if none is held
      */
     public CrashRecord find(RequestFingerprint fingerprint) {
         return mRegistry.find(fingerprint);
     }
 
     /**
-     * Takes the turn to run a copy of a suspected request, here and over all instances.
+     * Acquires the exclusive right to run a copy of a suspected request, on this instance and over
+     * all instances.
      *
-     * @param request the request
-     * @return false if a copy runs
+     * @param request fingerprint of the request
+     * @return false if another copy is running
      */
     boolean tryBegin(RequestFingerprint request) {
         if (!mRunning.tryBegin(request)) {
@@ -107,7 +110,7 @@
         return false;
     }
 
-    /** Ends what {@link #tryBegin} has begun. */
+    /** Releases what {@link #tryBegin} has acquired. */
     void end(RequestFingerprint request) {
         mTurns.end(request);
         mRunning.end(request);
@@ -121,7 +124,7 @@
     /**
      * Reports that an upstream has crashed.
      *
-     * @param after the record of the request that it ran, this crash included
+     * @param after record of the request that it was running, including this crash
      */
     public void crashed(CrashRecord after) {
         mCrashes.incrementAndGet();
@@ -129,14 +132,15 @@
     }
 
     /**
-     * Reports that a call has failed as calls to an upstream that crashes do. It counts as a crash
-     * at once if the upstream is found to have ended, otherwise once another one has taken its
-     * place. One that falls silent is not looked at: what it does not answer proves nothing.
+     * Reports a call that failed in the way in which calls to a crashing upstream fail. It is
+     * counted as a crash immediately if the upstream is found to have terminated, otherwise once
+     * another upstream has taken its place. An upstream that timed out is not probed, since a
+     * missing answer proves nothing.
      *
      * @param failure how the call failed
-     * @param after the record of the request that it ran, a crash included
-     * @param upstream the upstream
-     * @param peer where it listened
+     * @param after record of the request that it was running, including a crash
+     * @param upstream incarnation of the upstream
+     * @param peer address of the upstream
      */
     public void mayHaveCrashed(
             Failure failure, CrashRecord after, Incarnation upstream, Peer peer) {
@@ -150,13 +154,14 @@
     }
 
     /**
-     * Reports that a run was broken off here because its caller left. Its upstream may go on with
-     * it for a moment, and end under it unseen: so it is watched.
+     * Reports that a run was abandoned by this instance because its caller disconnected. The
+     * upstream may continue the run for a moment and crash unnoticed, so it is watched.
      *
-     * @param after the record of the request, a crash included
-     * @param peer where the upstream listens
-     * @param isPlanned asked when the upstream has ended: whether it had said that it leaves
-     * @param watched called once when the watch is over, whatever it has found
+     * @param after record of the request, including a crash
+     * @param peer address of the upstream
+     * @param isPlanned returns whether the upstream had announced its departure; called when it has
+     *     terminated
+     * @param watched called once when the watch is over, whatever its result
      */
     public void abandoned(
             CrashRecord after, Peer peer, BooleanSupplier isPlanned, Runnable watched) {
@@ -180,17 +185,17 @@
     }
 
     /**
-     * Tells whether calls to an upstream that crashes fail so.
+     * Returns whether a failure may be caused by the crash of the upstream.
      *
      * @param failure how a call failed
-     * @return false if the failure has another reason for certain
+     * @return false if the failure certainly has another cause
      */
     public static boolean mayBeCrash(Failure failure) {
         return failure instanceof Failure.Broken || failure instanceof Failure.TimedOut;
     }
 
     /**
-     * Takes a registration, which may prove that another upstream has ended.
+     * Processes a registration, which may confirm that another upstream has terminated.
      *
      * @param registration the registration
      */
@@ -199,9 +204,9 @@
     }
 
     /**
-     * Reports that a request has run to an end that its upstream survived.
+     * Reports that a request has completed and its upstream is still running.
      *
-     * @param fingerprint the request
+     * @param fingerprint fingerprint of the request
      */
     public void survived(RequestFingerprint fingerprint) {
         announce(mRegistry.clear(fingerprint).stream().toList());
@@ -221,24 +226,24 @@
     }
 
     /**
-     * Returns how many crashes were reported here.
+     * Returns the number of crashes reported on this instance.
      *
-     * @return a count
+     * @return number of crashes
      */
     public long crashCount() {
         return mCrashes.get();
     }
 
     /**
-     * Returns how many requests were refused here because they are quarantined.
+     * Returns the number of requests that this instance refused because they are quarantined.
      *
-     * @return a count
+     * @return number of requests
      */
     public long refusalCount() {
         return mRefusals.get();
     }
 
-    /** Returns what was counted, for logs. */
+    /** Returns the counters, for logs. */
     @Override
     public String toString() {
         return "%d crashes, %d requests refused, %d quarantined"
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/EndProbe.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/EndProbe.java
@@ -7,24 +7,24 @@
 
 import org.orchidmount.internal.http.Peer;
 
-/** Finds out whether an upstream whose connection broke has ended. Thread-safe. */
+/** Determines whether an upstream whose connection broke has terminated. Thread-safe. */
 @FunctionalInterface
 public interface EndProbe {
-    /** What is found. */
+    /** Result of a probe. */
     enum Finding {
-        /** Its machine answers, and nothing listens at its address: the process has ended. */
+        /** The host answers and nothing listens on the port: the process has terminated. */
         ENDED,
-        /** Something listens there: the upstream, or one that has taken its place already. */
+        /** Something listens on the port: the upstream, or one that has already taken its place. */
         LISTENS,
-        /** Nothing answers: its machine has no power, or a network is cut. */
+        /** No answer: the host is down, or the network is partitioned. */
         SILENT
     }
 
     /**
-     * Looks at the address of an upstream.
+     * Probes the address of an upstream.
      *
      * @param peer the upstream
-     * @return what is found, within a fraction of a second
+     * @return result, within a fraction of a second
      */
     Finding probe(Peer peer);
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/EndWatch.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/EndWatch.java
@@ -8,15 +8,16 @@
 import java.time.Duration;
 import org.orchidmount.internal.http.Peer;
 
-/** Watches whether the process of an upstream ends. Implementations are thread-safe. */
+/** Waits for the termination of the process of an upstream. Implementations are thread-safe. */
 @FunctionalInterface
 public interface EndWatch {
     /**
-     * Watches for a while.
+     * Blocks until the process has terminated or the timeout has expired.
      *
-     * @param peer where the upstream listens
-     * @param longest how long
-     * @return true once its process has ended; false if it has not by then
+     * @param peer address of the upstream
+     * @param longest timeout
+     * @return true if the process has terminated; false if the timeout expired or the upstream
+     *     cannot be watched
      */
     boolean endsWithin(Peer peer, Duration longest);
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/PacedTurns.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/PacedTurns.java
@@ -14,29 +14,31 @@
 import org.orchidmount.quota.SharedQuota;
 
 /**
- * Turns that the owner of shared limits gives: each is a unit that is given back when the run has
- * ended, or comes back by itself within a second, as when the instance that has it ends. While
- * there is no owner each instance gives turns by itself.
+ * Turns granted by the owner of the shared limits. A turn is one unit, which is returned when the
+ * run has ended, or is refilled within one second, for example if the instance that holds it
+ * terminates. While there is no owner, each instance grants turns on its own.
  *
- * <p>Invariant: a crash is announced before the turn is given back, on the same links, so that
- * whoever has the next turn knows of it. Thread-safe.
+ * <p>Invariant: a crash is announced before the turn is returned, over the same connections, so
+ * that the next holder of the turn knows of it. Thread-safe.
  */
 public final class PacedTurns implements SharedTurns {
     private static final String PREFIX = "turn\u0000";
 
-    /** A burst far below one turn, so that no two are given at once. */
+    /** Limit with a burst far below one turn, so that no two turns are granted at once. */
     private static final QuotaLimit LIMIT = new QuotaLimit(1, 0.001, 1, Duration.ofSeconds(1));
 
-    /** Waited for twice at most. An owner that is busy must not be taken for none. */
+    /**
+     * Timeout of each of at most two attempts. A busy owner must not be mistaken for a missing one.
+     */
     private static final Duration OWNER_WAIT = Duration.ofMillis(250);
 
     private final SharedQuota mQuota;
     private final Set<RequestFingerprint> mTaken = ConcurrentHashMap.newKeySet();
 
     /**
-     * Creates it.
+     * Creates turns on top of a shared quota.
      *
-     * @param quota reaches the owner
+     * @param quota quota that reaches the owner
      */
     public PacedTurns(SharedQuota quota) {
         mQuota = quota;
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/RequestFingerprint.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/RequestFingerprint.java
@@ -13,17 +13,21 @@
 import org.orchidmount.internal.keys.Sha256;
 
 /**
- * Tells requests apart by what they ask for and who asks, whatever identity each return of them
- * has. Two that differ have the same one with a chance of 2^-128, also if somebody tries.
- * Immutable.
+ * Fingerprint of a request by its content and its caller, the same for each retry whatever its
+ * request id. Two different requests share a fingerprint with a probability of 2^-128, even if
+ * somebody tries to construct them. Immutable.
  *
  * @param hex 32 lower-case hexadecimal digits
  */
 public record RequestFingerprint(String hex) {
-    /** Half of a SHA-256: nobody finds two texts with the same half. */
+    /** Half of a SHA-256 hash: it is infeasible to find two inputs that share it. */
     private static final int BYTES = 16;
 
-    /** Checks the form. */
+    /**
+     * Creates a fingerprint.
+     *
+     * @throws IllegalArgumentException if the text is not 32 lower-case hexadecimal digits
+     */
     public RequestFingerprint {
         boolean isHex = hex.chars().allMatch(digit -> "0123456789abcdef".indexOf(digit) >= 0);
         if (hex.length() != 2 * BYTES || !isHex) {
@@ -33,14 +37,15 @@
     }
 
     /**
-     * Makes the fingerprint of a request.
+     * Computes the fingerprint of a request.
      *
-     * @param caller the client account, or who the caller says it is; empty if neither is known
-     * @param method the HTTP method
-     * @param host the host of its route
-     * @param pathAndQuery the path and the query as they were sent
-     * @param body the whole body
-     * @return its fingerprint
+     * @param caller client account, or the identity that the caller states; empty if neither is
+     *     known
+     * @param method HTTP method
+     * @param host host of the route
+     * @param pathAndQuery path and query as they were sent
+     * @param body complete body
+     * @return the fingerprint
      */
     public static RequestFingerprint of(
             String caller, String method, String host, String pathAndQuery, byte[] body) {
@@ -54,7 +59,7 @@
         return new RequestFingerprint(HexFormat.of().formatHex(half));
     }
 
-    /** The length goes first, so that parts cannot be shifted against each other. */
+    /** Hashes the length first, so that no two sequences of parts give the same input. */
     private static void update(MessageDigest digest, byte[] part) {
         digest.update(ByteBuffer.allocate(Integer.BYTES).putInt(0, part.length));
         digest.update(part);
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/RunGuard.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/RunGuard.java
@@ -12,19 +12,19 @@
 import org.orchidmount.membership.Incarnation;
 
 /**
- * Asks before each run of one request whether it may run, and counts the crashes of its runs.
+ * Checks before each run of one request whether it may run, and reports the crashes of its runs.
  *
- * <p>Invariant: a crash is counted on top of what was known when its run began. The fingerprint is
- * made when it is first needed, so that requests cost nothing more while no crash is known. Used by
- * one thread.
+ * <p>Invariant: a crash is added to the record that was known when the run began. The fingerprint
+ * is computed when it is first needed, so that requests incur no cost while no crash is known.
+ * Confined to one thread.
  */
 public final class RunGuard implements AutoCloseable {
-    /** Crashes from which copies of a request to a model engine run one at a time. */
+    /** Number of crashes from which copies of a request to a model engine run one at a time. */
     public static final int PROMPT_TAKES_TURNS_AFTER = 1;
 
     /**
-     * The same for plain services, of which many callers ask the same thing at once: they must not
-     * all wait for one because an upstream crashed by itself.
+     * The same number for plain services. Many callers send them identical requests at once, and
+     * these must not all wait for one another because an upstream crashed for another reason.
      */
     public static final int PLAIN_TAKES_TURNS_AFTER = 2;
 
@@ -33,18 +33,18 @@
     private final int mTakesTurnsAfter;
     private RequestFingerprint mFingerprint;
 
-    /** What was known when the present run began; null while no crash was. */
+    /** Record that was known when the current run began; null if no crash was known. */
     private CrashRecord mKnown;
 
-    /** Whether this request is the copy that runs, of several. */
+    /** Whether this request holds the right to run among its copies. */
     private boolean mHasTurn;
 
     /**
      * Creates a guard.
      *
-     * @param reports what the instance knows of crashes
-     * @param makeFingerprint makes the request's fingerprint
-     * @param takesTurnsAfter the crashes from which copies of the request run one at a time
+     * @param reports crash reports of this instance
+     * @param makeFingerprint computes the fingerprint of the request
+     * @param takesTurnsAfter number of crashes from which copies of the request run one at a time
      */
     public RunGuard(
             CrashReports reports,
@@ -56,7 +56,7 @@
     }
 
     /**
-     * Returns the request's fingerprint.
+     * Returns the fingerprint of the request, computed by the first call.
      *
      * @return the fingerprint
      */
@@ -68,19 +68,20 @@
     }
 
     /**
-     * Tells whether the request must not be run any more.
+     * Returns whether the request must not be run any more.
      *
-     * @return true if too many upstreams have crashed under it
+     * @return true if too many upstreams have crashed while running it
      */
     public boolean isQuarantined() {
         return !mReports.isEmpty() && mReports.find(fingerprint()).isQuarantined();
     }
 
     /**
-     * Begins a run. To be asked shortly before it, since what becomes known of other runs until
-     * then is what this one happens in spite of.
+     * Begins a run. Must be called immediately before the run, since a crash of this run is counted
+     * in addition to all those known by then.
      *
-     * @return false if the request must not run now, as it is quarantined or a copy of it runs
+     * @return false if the request must not run now, because it is quarantined or another copy of
+     *     it is running
      */
     public boolean mayRun() {
         mKnown = mReports.isEmpty() ? null : mReports.find(fingerprint());
@@ -90,7 +91,10 @@
         return !mKnown.isQuarantined() && takesTurn() && !mKnown.isQuarantined();
     }
 
-    /** With the turn comes what the copy that had it before has shown. */
+    /**
+     * Reloads the record after acquiring the turn, since the previous holder may have added a
+     * crash.
+     */
     private boolean takesTurn() {
         if (mKnown.crashes() < mTakesTurnsAfter || mHasTurn) {
             return true;
@@ -101,20 +105,20 @@
     }
 
     /**
-     * Notes that the present run has failed, and was not cancelled.
+     * Reports that the current run has failed and was not cancelled.
      *
-     * @param failure how it failed; one that {@link CrashReports#mayBeCrash}
-     * @param upstream the upstream that had it
-     * @param peer where that listened
-     * @param from the last event or token that the caller had when the run began; 0 for none
-     * @param at the last that it has now
+     * @param failure how it failed; one for which {@link CrashReports#mayBeCrash} is true
+     * @param upstream incarnation of the upstream that ran it
+     * @param peer address of that upstream
+     * @param from last event or token that the caller had when the run began; 0 for none
+     * @param at last event or token that the caller has now
      */
     public void failed(Failure failure, Incarnation upstream, Peer peer, long from, long at) {
         mReports.mayHaveCrashed(failure, afterCrash(from, at), upstream, peer);
     }
 
     /**
-     * Notes that the upstream of the present run is known to have crashed.
+     * Reports that the upstream of the current run is known to have crashed.
      *
      * @param from as in {@link #failed}
      * @param at as in {@link #failed}
@@ -124,11 +128,11 @@
     }
 
     /**
-     * Notes that the present run was broken off because its caller left. A copy of the request has
-     * to wait for its turn until it is known whether the upstream survives that.
+     * Reports that the current run was abandoned because its caller disconnected. Copies of the
+     * request wait for their turn until it is known whether the upstream survives.
      *
-     * @param peer where the upstream listened
-     * @param isPlanned tells whether it has said that it leaves
+     * @param peer address of the upstream
+     * @param isPlanned returns whether the upstream has announced its departure
      * @param from as in {@link #failed}
      * @param at as in {@link #failed}
      */
@@ -151,14 +155,14 @@
         return before.afterCrash(from, at);
     }
 
-    /** Notes that an upstream has survived the request. */
+    /** Reports that an upstream has survived the request. */
     public void survived() {
         if (!mReports.isEmpty()) {
             mReports.survived(fingerprint());
         }
     }
 
-    /** Lets another copy of the request run. */
+    /** Releases the turn, so that another copy of the request can run. */
     @Override
     public void close() {
         if (mHasTurn) {
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/RunningSuspects.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/RunningSuspects.java
@@ -9,18 +9,18 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * The suspected requests that run at this instance, each once at a time, so that copies that come
- * together do not crash several upstreams. Thread-safe.
+ * Suspected requests that are running on this instance, each at most once, so that simultaneous
+ * copies do not crash several upstreams. Thread-safe.
  */
 final class RunningSuspects {
     private final Set<RequestFingerprint> mRunning = ConcurrentHashMap.newKeySet();
 
-    /** Begins to run a request; returns false if a copy of it runs. */
+    /** Marks a request as running; returns false if a copy of it is running. */
     boolean tryBegin(RequestFingerprint fingerprint) {
         return mRunning.add(fingerprint);
     }
 
-    /** Ends what {@link #tryBegin} has begun. */
+    /** Reverts what {@link #tryBegin} has marked. */
     void end(RequestFingerprint fingerprint) {
         mRunning.remove(fingerprint);
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/SharedTurns.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/SharedTurns.java
@@ -6,11 +6,11 @@
 package org.orchidmount.quarantine;
 
 /**
- * Gives turns to copies of suspected requests over all instances. Of one instance, only one copy of
- * a request asks at a time. Thread-safe.
+ * Mutual exclusion of the copies of a suspected request over all instances. Each instance requests
+ * at most one turn per request at a time. Thread-safe.
  */
 public interface SharedTurns {
-    /** Knows of no other instance. */
+    /** Grants every turn, for an instance without peers. */
     SharedTurns ALONE =
             new SharedTurns() {
                 @Override
@@ -23,17 +23,17 @@
             };
 
     /**
-     * Takes the turn to run a copy of a request.
+     * Acquires the turn to run a copy of a request.
      *
-     * @param request the request
-     * @return false if a copy may be running at another instance
+     * @param request fingerprint of the request
+     * @return false if a copy may be running on another instance
      */
     boolean tryTake(RequestFingerprint request);
 
     /**
-     * Ends a turn that was taken.
+     * Releases a turn that was acquired.
      *
-     * @param request the request
+     * @param request fingerprint of the request
      */
     void end(RequestFingerprint request);
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/UnprovenCrashes.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/UnprovenCrashes.java
@@ -16,17 +16,17 @@
 import org.orchidmount.membership.Registration;
 
 /**
- * Crashes that count if another upstream turns out to have taken the place of the one that may have
- * crashed.
+ * Suspected crashes, which are counted if another upstream turns out to have replaced the one that
+ * may have crashed.
  *
- * <p>Invariants: each is proved at most once, and within {@link #PROOF_WITHIN}; one whose upstream
- * says that it leaves by plan is dropped. Thread-safe.
+ * <p>Invariants: each is confirmed at most once, and within {@link #PROOF_WITHIN}; one whose
+ * upstream announces a planned departure is dropped. Thread-safe.
  */
 final class UnprovenCrashes {
-    /** By then an upstream that has started again has registered: some heartbeats. */
+    /** Time by which a restarted upstream has registered: several heartbeats. */
     private static final Duration PROOF_WITHIN = Duration.ofSeconds(10);
 
-    /** The oldest give way. */
+    /** Maximum number of suspected crashes; the oldest are evicted. */
     private static final int CAPACITY = 1_024;
 
     private final OrderedLock mLock = new OrderedLock(LockRank.CRASHES);
@@ -59,11 +59,11 @@
     }
 
     /**
-     * Awaits a proof.
+     * Adds a suspected crash that awaits its confirmation.
      *
-     * @param after the record of the request that the upstream ran, its crash included
-     * @param upstream the upstream
-     * @param address where it listened
+     * @param after record of the request that the upstream was running, including the crash
+     * @param upstream incarnation of the upstream
+     * @param address host and port at which it listened
      */
     void add(CrashRecord after, Incarnation upstream, String address) {
         long nowNanos = mClock.nanoTime();
@@ -77,10 +77,10 @@
     }
 
     /**
-     * Takes a registration.
+     * Processes a registration.
      *
      * @param registration the registration
-     * @return the records of the crashes that it proves
+     * @return records of the crashes that it confirms
      */
     List<CrashRecord> takeProved(Registration registration) {
         long nowNanos = mClock.nanoTime();
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/package-info.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/package-info.java
@@ -4,13 +4,13 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 /**
- * Requests that crash the upstreams which run them: what all instances together know of them, and
- * when they are not run any more.
+ * Quarantine of requests that crash the upstreams on which they run: what all instances together
+ * know of such requests, and when a request is no longer run.
  *
- * <p>{@code CrashRecord} holds the rule; {@code CrashRegistry} holds the records of one instance,
- * which the instances exchange and merge; {@code CrashReports} is what both paths of a request use,
- * by a {@code RunGuard} for each; {@code EndProbe} tells whether an upstream has ended, and {@code
- * UnprovenCrashes} awaits a proof where it cannot. Nothing here knows of messages between instances
- * or of files. Time is passed in.
+ * <p>{@code CrashRecord} defines the rule. {@code CrashRegistry} holds the records of one instance,
+ * which the instances exchange and merge. {@code CrashReports} is the entry point for both request
+ * paths, with a {@code RunGuard} per request. {@code EndProbe} determines whether an upstream has
+ * terminated, and {@code UnprovenCrashes} waits for a confirmation where the probe cannot tell.
+ * This package does not depend on cluster messages or files. Callers pass the time in.
  */
 package org.orchidmount.quarantine;
