--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/LimitStatement.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/LimitStatement.java
@@ -5,21 +5,25 @@
  */
 package org.orchidmount.pacing;
 
-/** What a response of an upstream states of the requests that it takes. Immutable. */
+/** Rate limit that a response of an upstream states. Immutable. */
 public sealed interface LimitStatement {
     /** The response states no limit. */
     LimitStatement NONE = new None();
 
-    /** The response states no limit, so that there is none any more. */
+    /** The response states no limit, which revokes an earlier one. */
     record None() implements LimitStatement {}
 
     /**
-     * The upstream takes so many requests from all instances together.
+     * Rate that the upstream accepts from all instances together.
      *
-     * @param perSecond requests a second, finite and at least 0
+     * @param perSecond requests per second, finite and at least 0
      */
     record PerSecond(double perSecond) implements LimitStatement {
-        /** Checks the number. */
+        /**
+         * Creates a statement.
+         *
+         * @throws IllegalArgumentException if the rate is negative or not finite
+         */
         public PerSecond {
             if (!Double.isFinite(perSecond) || perSecond < 0) {
                 throw new IllegalArgumentException("a limit of " + perSecond + " a second");
@@ -28,9 +32,9 @@
     }
 
     /**
-     * The response states something that is no limit. What was known before holds on.
+     * The response states a limit that cannot be parsed. The previous limit remains in force.
      *
-     * @param text what it states
+     * @param text text of the statement
      */
     record Unreadable(String text) implements LimitStatement {}
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/LonePace.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/LonePace.java
@@ -18,17 +18,17 @@
 import org.orchidmount.membership.Incarnation;
 
 /**
- * What this instance sends to upstreams while nobody counts for all: an equal part of half of what
- * each takes.
+ * Local rate limiter for upstreams, used while no owner counts for all instances: each instance
+ * sends an equal share of half of the limit.
  *
- * <p>The part is often less than one request in the time that this lasts, so its first request
- * waits a random part of the pause between two: so the sum over all instances is no more than that
- * half, whichever of them have requests. Thread-safe.
+ * <p>The share is often less than one request for as long as this state lasts, so the first request
+ * waits for a random part of the interval between two requests. The sum over all instances
+ * therefore does not exceed that half, whichever of them have requests. Thread-safe.
  */
 final class LonePace {
     /**
-     * The part of what an upstream takes that all instances together send it alone: those that
-     * cannot reach the owner go on beside those that can, and half more is borne.
+     * Share of a limit that all instances without an owner send together. They send in addition to
+     * the instances that can reach the owner, and upstreams tolerate half more than their limit.
      */
     private static final double LONE_SHARE = 0.5;
 
@@ -39,7 +39,7 @@
     private final RandomGenerator mRandom;
     private final MonotonicClock mClock;
 
-    /** When the next request may be sent; one that is long past is of an earlier time. */
+    /** Monotonic time of the next permitted request; a time long past is stale. */
     private final Map<Incarnation, Long> mNextNanos = new HashMap<>();
 
     LonePace(IntSupplier instances, RandomGenerator random, MonotonicClock clock) {
@@ -49,11 +49,11 @@
     }
 
     /**
-     * Takes the right to send one request.
+     * Acquires the permission to send one request.
      *
-     * @param upstream the upstream
-     * @param perSecond what it takes from all instances, above 0
-     * @return how long to wait before asking again; zero if one may be sent now
+     * @param upstream incarnation of the upstream
+     * @param perSecond rate that it accepts from all instances, above 0
+     * @return time to wait before the next attempt; zero if the request may be sent now
      */
     Duration take(Incarnation upstream, double perSecond) {
         long nowNanos = mClock.nanoTime();
@@ -70,7 +70,7 @@
         }
     }
 
-    /** Forgets upstreams that have ended. */
+    /** Removes upstreams that have ended. */
     void forget(Predicate<Incarnation> hasEnded) {
         try (OrderedLock.Held _ = mLock.hold()) {
             mNextNanos.keySet().removeIf(hasEnded);
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/PauseStatement.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/PauseStatement.java
@@ -7,23 +7,25 @@
 
 import java.time.Duration;
 
-/**
- * What a response of an upstream states of when it takes work of this instance again. Immutable.
- */
+/** Pause that a response of an upstream requests of this instance. Immutable. */
 public sealed interface PauseStatement {
-    /** The response asks for no pause. */
+    /** The response requests no pause. */
     PauseStatement NONE = new None();
 
-    /** The response asks for no pause. One that was asked for before goes on. */
+    /** The response requests no pause. A pause requested earlier continues. */
     record None() implements PauseStatement {}
 
     /**
-     * The upstream takes nothing from this instance for so long.
+     * The upstream accepts nothing from this instance for a period.
      *
-     * @param length the time from the response on, not negative
+     * @param length time from the response on, not negative
      */
     record Lasting(Duration length) implements PauseStatement {
-        /** Checks the time. */
+        /**
+         * Creates a statement.
+         *
+         * @throws IllegalArgumentException if the time is negative
+         */
         public Lasting {
             if (length.isNegative()) {
                 throw new IllegalArgumentException("a pause of " + length);
@@ -32,9 +34,9 @@
     }
 
     /**
-     * The response states something that is no time.
+     * The response requests a pause that cannot be parsed.
      *
-     * @param text what it states
+     * @param text text of the statement
      */
     record Unreadable(String text) implements PauseStatement {}
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/QuotaKeys.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/QuotaKeys.java
@@ -7,17 +7,17 @@
 
 import org.orchidmount.membership.Incarnation;
 
-/** Names the buckets of upstreams. Stateless. */
+/** Keys of the quota buckets of upstreams. Stateless. */
 public final class QuotaKeys {
-    /** Not part of the name of any client account, so that no bucket is shared with one. */
+    /** Cannot occur in the name of a client account, so no bucket is shared with one. */
     private static final String PREFIX = "upstream\u0000";
 
     private QuotaKeys() {}
 
     /**
-     * Names the bucket of an incarnation of an upstream.
+     * Returns the key of the bucket of an incarnation.
      *
-     * @param upstream the incarnation
+     * @param upstream incarnation of the upstream
      * @return the key
      */
     public static String ofUpstream(Incarnation upstream) {
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/RetryAfterField.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/RetryAfterField.java
@@ -14,20 +14,21 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads the header field Retry-After in a refusal. It states seconds, fractions included. A date is
- * not read, since it would be compared with another machine's clock. Stateless and thread-safe.
+ * Parser of the header field Retry-After in a refusal. It accepts seconds, including fractions. A
+ * date is not accepted, since it would be compared with the clock of another machine. Stateless and
+ * thread-safe.
  */
 public final class RetryAfterField {
-    /** Longer numbers say nothing more. */
+    /** Bounds the digits; longer numbers carry no further information. */
     private static final Pattern SECONDS = Pattern.compile("\\d{1,9}(\\.\\d{1,9})?");
 
     private RetryAfterField() {}
 
     /**
-     * Reads the head of a response.
+     * Reads the pause from the head of a response.
      *
-     * @param response the head
-     * @return the pause that it asks for; none unless its status is that of a refusal
+     * @param response head of the response
+     * @return the requested pause; none unless the status is that of a refusal
      */
     public static PauseStatement read(ClientResponse response) {
         HeaderValues values = response.getResponseHeaders().get(Headers.RETRY_AFTER);
@@ -40,7 +41,7 @@
                 : new PauseStatement.Unreadable(text);
     }
 
-    /** With other statuses the field is for the caller. */
+    /** With other statuses the field is meant for the caller. */
     private static boolean isRefusal(int status) {
         return status == StatusCodes.SERVICE_UNAVAILABLE || status == StatusCodes.TOO_MANY_REQUESTS;
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/ReturnQueue.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/ReturnQueue.java
@@ -13,8 +13,8 @@
 import org.orchidmount.internal.lock.OrderedLock;
 
 /**
- * When refused callers are to come back, so that each finds room behind those that were refused
- * before it. One queue a service. Thread-safe.
+ * Schedules the retries of refused callers, so that each finds capacity after those that were
+ * refused before it. One queue per service. Thread-safe.
  */
 final class ReturnQueue {
     private final OrderedLock mLock = new OrderedLock(LockRank.UPSTREAM_LIMITS);
@@ -26,14 +26,14 @@
     }
 
     /**
-     * Gives a caller its time.
+     * Assigns a retry time to a caller.
      *
-     * @param service the service
-     * @param untilRoom when there is room here for the next request
-     * @param pause the time between two requests for which there is room here
-     * @param longest how long the caller can wait; one that cannot wait so long does not come back
-     *     and takes no place in the queue
-     * @return when to come back
+     * @param service name of the service
+     * @param untilRoom time until this instance has capacity for the next request
+     * @param pause interval between two requests for which this instance has capacity
+     * @param longest how long the caller can wait; one that cannot wait for its retry time takes no
+     *     place in the queue
+     * @return time after which to retry
      */
     Duration join(String service, Duration untilRoom, Duration pause, Duration longest) {
         long nowNanos = mClock.nanoTime();
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/SendPermit.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/SendPermit.java
@@ -9,13 +9,13 @@
 import org.orchidmount.quota.QuotaAsk;
 
 /**
- * Whether one request may be sent to an upstream now. Immutable.
+ * Decision whether one request may be sent to an upstream now. Immutable.
  *
  * @param isGranted whether it may be sent
- * @param owed what the owner counts for it, to be given back if nothing is sent
+ * @param owed units that the owner counts for it, to be returned if nothing is sent
  */
 public record SendPermit(boolean isGranted, Optional<QuotaAsk> owed) {
-    /** The request may be sent; nobody counts it. */
+    /** The request may be sent; no owner counts it. */
     public static final SendPermit FREE = new SendPermit(true, Optional.empty());
 
     /** The request may not be sent now. */
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/UnreadableStatements.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/UnreadableStatements.java
@@ -8,35 +8,36 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.orchidmount.internal.log.PartLog;
 
-/** Counts the statements of one kind that cannot be read, and logs some. Thread-safe. */
+/** Counts the statements of one kind that cannot be parsed, and logs some of them. Thread-safe. */
 public final class UnreadableStatements {
     private static final PartLog LOG = PartLog.of("pacing");
 
-    /** The longest foreign text in a line. */
+    /** Maximum length of text from an upstream in a log line. */
     private static final int MAX_LOGGED_CHARACTERS = 100;
 
     private final String mKind;
     private final AtomicLong mCount = new AtomicLong();
 
-    /** Creates it for what stands in the lines, such as "a limit that is no number". */
+    /** Creates a counter for a kind as named in log lines, such as "a limit that is no number". */
     UnreadableStatements(String kind) {
         mKind = kind;
     }
 
     /**
-     * Creates it for what stands in place of a pause.
+     * Creates a counter for unreadable retry times.
      *
-     * @return one without any
+     * @return counter at zero
      */
     public static UnreadableStatements ofTimesToComeBack() {
         return new UnreadableStatements("a time to come back that is no number of seconds");
     }
 
     /**
-     * Counts one. Logs the first, the second, the fourth and so on, so that lines stay few.
+     * Counts a statement. Logs the first, second, fourth and so on, to limit the number of log
+     * lines.
      *
-     * @param upstream the name of the upstream
-     * @param text what it states
+     * @param upstream name of the upstream
+     * @param text text of the statement
      */
     public void add(String upstream, String text) {
         long count = mCount.incrementAndGet();
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamLimit.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamLimit.java
@@ -9,21 +9,25 @@
 import org.orchidmount.membership.Incarnation;
 
 /**
- * What is known of the limit of one incarnation of an upstream. Immutable.
+ * Rate limit of one incarnation of an upstream. Immutable.
  *
- * <p>Each change has a version one above the one that it follows, so that of two that contradict
- * each other all instances keep the same, in whatever order they receive them. Of two with one
- * version, made at two instances at once, the stricter holds.
+ * <p>Each change has the version of its predecessor plus one, so that all instances keep the same
+ * of two contradictory records, in whatever order they receive them. Of two records with the same
+ * version, created concurrently at two instances, the stricter one holds.
  *
- * @param upstream the incarnation
- * @param perSecond requests a second that it takes from all instances together, finite and at least
- *     0; nothing if it states no limit any more
- * @param version the number of the change, at least 1
- * @param teller the name of the instance that the upstream told
+ * @param upstream incarnation of the upstream
+ * @param perSecond requests per second that it accepts from all instances together, finite and at
+ *     least 0; empty if it no longer states a limit
+ * @param version number of the change, at least 1
+ * @param teller name of the instance that received the statement from the upstream
  */
 public record UpstreamLimit(
         Incarnation upstream, OptionalDouble perSecond, long version, String teller) {
-    /** Checks the numbers. */
+    /**
+     * Creates a limit.
+     *
+     * @throws IllegalArgumentException if the rate or the version is out of range
+     */
     public UpstreamLimit {
         double number = perSecond.orElse(0);
         if (!Double.isFinite(number) || number < 0) {
@@ -35,19 +39,19 @@
     }
 
     /**
-     * Tells whether the upstream states a limit.
+     * Returns whether the upstream states a limit.
      *
-     * @return false if it has ceased to
+     * @return false if it no longer does
      */
     public boolean isInForce() {
         return perSecond.isPresent();
     }
 
     /**
-     * Tells whether this takes the place of another record of the same incarnation.
+     * Returns whether this record replaces another one of the same incarnation.
      *
      * @param other the other record
-     * @return true if it is newer, or as new and stricter
+     * @return true if the version is higher, or is the same and the limit stricter
      */
     public boolean isNewerThan(UpstreamLimit other) {
         if (version != other.version) {
@@ -60,7 +64,7 @@
         return perSecond.orElse(Double.POSITIVE_INFINITY);
     }
 
-    /** Returns the limit in words, for logs. */
+    /** Returns a description of the limit, for logs. */
     @Override
     public String toString() {
         String limit =
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamLimitAnnouncer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamLimitAnnouncer.java
@@ -5,11 +5,11 @@
  */
 package org.orchidmount.pacing;
 
-/** Passes changes of limits on to the other instances. Thread-safe. */
+/** Distributes changes of limits to the other instances. Thread-safe. */
 @FunctionalInterface
 public interface UpstreamLimitAnnouncer {
     /**
-     * Passes a record on to the instances that can be reached. Returns at once.
+     * Sends a record to the instances that are reachable. Does not block.
      *
      * @param limit a record that this instance holds
      */
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamLimits.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamLimits.java
@@ -24,22 +24,25 @@
 import org.orchidmount.membership.Registration;
 
 /**
- * The limits of upstreams that one instance knows.
+ * Rate limits of upstreams that one instance knows.
  *
- * <p>Invariants: a response changes what is known only if its request was sent after that was
- * learned, so that one which comes late behind a newer one changes nothing; records of other
- * instances merge to the same in any order; a limit in force is forgotten only with its upstream,
- * or when there are more than {@link #CAPACITY} records and none of a limit that has ended.
+ * <p>Invariants: a response changes a limit only if its request was sent after that limit was
+ * learned, so that a late response changes nothing after a newer one; records from other instances
+ * merge to the same result in any order; a limit in force is removed only with its upstream, or
+ * when there are more than {@link #CAPACITY} records and none of a revoked limit is left.
  * Thread-safe.
  */
 public final class UpstreamLimits {
-    /** Records held at most: twice the upstreams of the target, some 100 bytes each. */
+    /** Maximum number of records: twice the target number of upstreams, about 100 bytes each. */
     public static final int CAPACITY = 16_384;
 
-    /** A limit that has ended is remembered while older records may still be on their way. */
+    /** Retention of revoked limits, while older records may still be in transit. */
     private static final Duration REMEMBER_ENDED = Duration.ofMinutes(10);
 
-    /** Smaller changes are not told to all instances; what upstreams bear is wider. */
+    /**
+     * Relative change below which a limit is not announced to all instances; the tolerance of
+     * upstreams is wider.
+     */
     private static final double LEAST_CHANGE_SHARE = 0.1;
 
     private static final PartLog LOG = PartLog.of("pacing");
@@ -49,11 +52,11 @@
     private final String mInstance;
     private final MonotonicClock mClock;
 
-    /** Read without the lock, so that responses cost nothing while no limit is known. */
+    /** Read without the lock, so that responses incur no cost while no limit is known. */
     private volatile boolean mIsEmpty = true;
 
     private record Held(UpstreamLimit limit, long learnedNanos) {
-        /** Orders what gives way first: what has ended, then the oldest. */
+        /** Eviction order: revoked limits first, then the oldest. */
         static final Comparator<Held> GIVES_WAY =
                 Comparator.comparing((Held held) -> held.limit.isInForce())
                         .thenComparingLong(Held::learnedNanos);
@@ -65,10 +68,10 @@
     }
 
     /**
-     * Creates it without any limits.
+     * Creates an empty set of limits.
      *
-     * @param instance the name of this instance
-     * @param clock orders what is learned and what is sent
+     * @param instance name of this instance
+     * @param clock orders the receipt of limits and the sending of requests
      */
     public UpstreamLimits(String instance, MonotonicClock clock) {
         mInstance = instance;
@@ -76,12 +79,12 @@
     }
 
     /**
-     * Learns from a response of an upstream.
+     * Updates the limit from a response of an upstream.
      *
-     * @param upstream the incarnation that responded
-     * @param stated the limit that the response states; nothing if it states none
-     * @param sentNanos when its request was sent, by the clock
-     * @return the new record, if this changes what is known
+     * @param upstream incarnation that responded
+     * @param stated limit in requests per second that the response states; empty if it states none
+     * @param sentNanos monotonic time at which the request was sent
+     * @return the new record if it changes the limit, else empty
      */
     public Optional<UpstreamLimit> observe(
             Incarnation upstream, OptionalDouble stated, long sentNanos) {
@@ -120,7 +123,7 @@
      * Merges records that were received.
      *
      * @param records the records
-     * @return those that were new
+     * @return the records that replaced older ones
      */
     public List<UpstreamLimit> merge(Collection<UpstreamLimit> records) {
         try (OrderedLock.Held _ = mLock.hold()) {
@@ -149,19 +152,19 @@
     }
 
     /**
-     * Tells whether no limit was ever heard of, or all are forgotten.
+     * Returns whether no limit is known, either because none was received or all were removed.
      *
-     * @return true if it holds no records
+     * @return true if no records are held
      */
     public boolean isEmpty() {
         return mIsEmpty;
     }
 
     /**
-     * Finds the limit of an upstream.
+     * Returns the limit of an upstream.
      *
-     * @param upstream the incarnation
-     * @return its limit, if it states one
+     * @param upstream incarnation of the upstream
+     * @return its limit, or empty if it states none
      */
     public Optional<UpstreamLimit> find(Incarnation upstream) {
         if (mIsEmpty) {
@@ -175,7 +178,7 @@
     }
 
     /**
-     * Returns all records, those of limits that have ended too.
+     * Returns all records, including those of revoked limits.
      *
      * @return a copy
      */
@@ -186,11 +189,11 @@
     }
 
     /**
-     * Tells whether a registration says that an incarnation of an upstream has ended.
+     * Returns whether a registration shows that an incarnation of an upstream has ended.
      *
-     * @param upstream the incarnation
+     * @param upstream incarnation of the upstream
      * @param registration the registration
-     * @return true if it has left, or another start has taken its place
+     * @return true if the upstream has left, or a newer incarnation has replaced this one
      */
     public static boolean isEnded(Incarnation upstream, Registration registration) {
         if (!upstream.id().equals(registration.id())) {
@@ -201,9 +204,9 @@
     }
 
     /**
-     * Forgets upstreams.
+     * Removes the limits of upstreams that have ended.
      *
-     * @param hasEnded tells which
+     * @param hasEnded selects the incarnations to remove
      */
     public void forget(Predicate<Incarnation> hasEnded) {
         if (mIsEmpty) {
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamPace.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamPace.java
@@ -27,38 +27,42 @@
 import org.orchidmount.quota.SharedQuota;
 
 /**
- * Keeps the requests of one instance to what upstreams state: to limits, which hold for all
- * instances together, and to pauses, of which each holds for the instance that was asked for it.
+ * Rate control of the requests that one instance sends to upstreams. It enforces the limits that
+ * upstreams state, which apply to all instances together, and the pauses that they request, each of
+ * which applies to the instance that received it.
  *
- * <p>One owner counts for all ({@link SharedQuota}); while there is none, each instance keeps to an
- * equal part ({@link LonePace}). What is counted is a request that is about to be sent: first and
- * further attempts, prefills, and a reservation together with the run that it is for. Releases,
- * reports and orders are not: they take no work.
+ * <p>One owner counts for all instances ({@link SharedQuota}); while there is none, each instance
+ * keeps to an equal share ({@link LonePace}). Each request is counted just before it is sent: first
+ * and further attempts, prefills, and a reservation together with the run for which it is made.
+ * Releases, reports and orders are not counted, since they cause no work.
  *
- * <p>Invariants: nothing is asked for an upstream that states no limit; one that has no room is not
- * asked for again here before the time that the owner named; nothing is sent to one during its
- * pause, whatever its limit. Thread-safe.
+ * <p>Invariants: the owner is not asked about an upstream that states no limit; for one without
+ * capacity it is not asked again by this instance before the time that it named; nothing is sent to
+ * an upstream during its pause, whatever its limit. Thread-safe.
  */
 public final class UpstreamPace {
     /**
-     * An upstream that takes nothing gets a request every five seconds all the same: only an answer
-     * can tell that it takes some again.
+     * Minimum rate. An upstream whose limit is zero still gets one request every five seconds,
+     * since only a response can show that it accepts requests again.
      */
     private static final double LEAST_PER_SECOND = 0.2;
 
-    /** What may come at once beyond the rate: a part of a second, and one request. */
+    /** Burst beyond the rate: the requests of this part of a second, plus one request. */
     private static final double BURST_SECONDS = 0.25;
 
-    /** The span over which an upstream counts what it got. */
+    /** Period over which an upstream counts the requests that it received. */
     private static final Duration WINDOW = Duration.ofSeconds(4);
 
-    /** There may be an owner again this soon. */
+    /** Maximum time until the owner is asked again; there may be an owner again after this time. */
     private static final Duration ASK_AGAIN_AFTER = Duration.ofMillis(200);
 
-    /** The part of its target that a request may wait for the owner's answer, twice at most. */
+    /**
+     * Share of its target that a request may wait for an answer of the owner, in each of at most
+     * two attempts.
+     */
     private static final double OWNER_WAIT_SHARE = 0.06;
 
-    /** The longest time behind other callers, since callers rarely wait for more. */
+    /** Maximum retry time due to other callers, since callers rarely wait longer. */
     private static final Duration LONGEST_QUEUE = Duration.ofSeconds(8);
 
     private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
@@ -82,22 +86,22 @@
     private final AtomicLong mHeldBack = new AtomicLong();
 
     /**
-     * This instance does not ask for more of an upstream.
+     * State of an upstream of which this instance requests no more capacity.
      *
-     * @param limit the limit that it has reached; once another holds, it is asked for more again
-     * @param untilNanos when there may be room under that limit
+     * @param limit limit that was reached; once another limit is known, the owner is asked again
+     * @param untilNanos monotonic time at which there may be capacity under that limit
      */
     private record Full(UpstreamLimit limit, long untilNanos) {}
 
     /**
-     * Creates it.
+     * Creates the rate control.
      *
-     * @param limits holds what is known
-     * @param announcer passes on what this instance hears
-     * @param quota reaches the owner
-     * @param instances how many instances send requests now, at least 1
-     * @param random spreads what instances do alone
-     * @param clock the clock
+     * @param limits holds the known limits
+     * @param announcer distributes the limits that this instance receives
+     * @param quota quota that reaches the owner
+     * @param instances returns the number of instances that send requests now, at least 1
+     * @param random spreads the first requests of instances that have no owner
+     * @param clock monotonic clock
      */
     public UpstreamPace(
             UpstreamLimits limits,
@@ -117,14 +121,15 @@
     }
 
     /**
-     * Learns from a response, which must be of that incarnation and to a call of this instance.
+     * Processes the statement of a response, which must come from that incarnation and belong to a
+     * call of this instance.
      *
-     * @param upstream the incarnation that responded
-     * @param statement what it states
-     * @param hasServed whether it is the answer to a request that was served. One that is not, such
-     *     as an error or the answer to a reservation, may come from a part of the upstream that
-     *     states no limits, so it ends none
-     * @param sentNanos when its request was sent, by the clock
+     * @param upstream incarnation that responded
+     * @param statement statement of the response
+     * @param hasServed whether the response belongs to a request that was served. Others, such as
+     *     an error or the answer to a reservation, may come from a part of the upstream that states
+     *     no limits, so they revoke none
+     * @param sentNanos monotonic time at which the request was sent
      */
     public void observe(
             Incarnation upstream, UpstreamStatement statement, boolean hasServed, long sentNanos) {
@@ -153,11 +158,11 @@
     }
 
     /**
-     * Takes the right to send one request.
+     * Acquires the permission to send one request.
      *
-     * @param upstream where it is to be sent
-     * @param target the time within which the request's answer is of full use
-     * @return the right, or that there is none now
+     * @param upstream incarnation to which it is to be sent
+     * @param target time within which the answer to the request is of full use
+     * @return the permit, granted or refused
      * @throws InterruptedException if the thread is interrupted
      */
     public SendPermit take(Incarnation upstream, Duration target) throws InterruptedException {
@@ -215,18 +220,18 @@
     }
 
     /**
-     * Gives a right back of which no use was made.
+     * Returns a permit that was not used.
      *
-     * @param permit the right
+     * @param permit the permit
      */
     public void giveBack(SendPermit permit) {
         permit.owed().ifPresent(ask -> mQuota.giveBack(ask, QuotaAnswer.GRANTED));
     }
 
     /**
-     * Tells whether an upstream has asked for a pause that is not over.
+     * Returns whether an upstream has requested a pause that is not over.
      *
-     * @param upstream the upstream
+     * @param upstream incarnation of the upstream
      * @return true if nothing is to be sent to it now
      */
     public boolean isPaused(Incarnation upstream) {
@@ -239,11 +244,12 @@
     }
 
     /**
-     * Notes that an upstream has refused a request. If it states a limit, it has no room now,
+     * Records that an upstream has refused a request. If it states a limit, it has no capacity now,
      * whatever was counted.
      *
-     * @param upstream the upstream
-     * @return whether that is for its limit or its pause; false if the refusal has another reason
+     * @param upstream incarnation of the upstream
+     * @return true if its limit or its pause explains the refusal; false if the refusal has another
+     *     cause
      */
     public boolean refusedBy(Incarnation upstream) {
         Optional<UpstreamLimit> limit = mLimits.find(upstream);
@@ -251,16 +257,16 @@
         return limit.isPresent() || mPauses.isPaused(upstream);
     }
 
-    /** Returns the time between two requests at a rate. */
+    /** Returns the interval between two requests at a rate. */
     private static Duration pause(double perSecond) {
         return Duration.ofNanos((long) (NANOS_PER_SECOND / perSecond));
     }
 
     /**
-     * Tells when the first of some upstreams is no longer passed over.
+     * Returns the time until the first of several upstreams is no longer excluded.
      *
-     * @param upstreams the upstreams, at least one
-     * @return the time until then
+     * @param upstreams incarnations, at least one
+     * @return time until then; zero if one is available now
      */
     public Duration untilAnyTakesWork(Collection<Incarnation> upstreams) {
         return upstreams.stream()
@@ -276,7 +282,7 @@
         return pause.compareTo(untilRoom) > 0 ? pause : untilRoom;
     }
 
-    /** Returns how long this instance does not ask for more of an upstream. */
+    /** Returns how long this instance requests no more capacity of an upstream. */
     private Duration untilRoom(Incarnation upstream) {
         Full full = mFull.get(upstream);
         if (full == null) {
@@ -291,20 +297,21 @@
     }
 
     /**
-     * Returns what this instance may have of something that all instances share, without asking the
-     * others. Where there are more instances than there is of it, all together may exceed it.
+     * Returns the share of this instance in a resource of all instances, without communication. If
+     * there are more instances than units of the resource, the sum of the shares exceeds the total.
      *
-     * @param ofAll what there is for all together
-     * @return an equal part, at least 1
+     * @param ofAll total of all instances
+     * @return an equal share, at least 1
      */
     public int equalPart(int ofAll) {
         return Math.max(1, ofAll / mInstances.getAsInt());
     }
 
     /**
-     * Names the upstreams that are to be passed over now.
+     * Returns the upstreams that are excluded now, because they are paused or have reached their
+     * limit.
      *
-     * @return their identities
+     * @return identities of the upstreams
      */
     public Set<String> passedOver() {
         Set<String> paused = mPauses.paused();
@@ -321,14 +328,15 @@
     }
 
     /**
-     * Tells a caller that was refused because all upstreams are passed over when the first of them
-     * takes work, behind all callers that were refused here before it.
+     * Returns the retry time for a caller that was refused because all upstreams are excluded: the
+     * time until the first of them accepts work, after all callers that this instance refused
+     * earlier.
      *
-     * @param service the service
-     * @param upstreams the upstreams that could take the request, at least one
-     * @param unlimitedPerSecond the requests a second that one without a limit is expected to take
+     * @param service name of the service
+     * @param upstreams incarnations that could serve the request, at least one
+     * @param unlimitedPerSecond requests per second expected of an upstream without a limit
      * @param longest how long the caller can wait
-     * @return when to come back
+     * @return time after which to retry
      */
     public Duration comeBackAfter(
             String service,
@@ -349,7 +357,7 @@
     }
 
     /**
-     * Takes a registration, which may end what is known of an earlier start of the upstream.
+     * Processes a registration, which may end an earlier incarnation of the upstream.
      *
      * @param registration the registration
      */
@@ -364,7 +372,7 @@
         mLonePace.forget(hasEnded);
     }
 
-    /** Returns what was counted, for logs. */
+    /** Returns the counters, for logs. */
     @Override
     public String toString() {
         return ("%d changes heard, %d statements unreadable, %d requests counted by the owner, %d"
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamPauses.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamPauses.java
@@ -17,11 +17,11 @@
 import org.orchidmount.membership.Incarnation;
 
 /**
- * The pauses that upstreams have asked this instance for. An upstream asks each instance by itself,
- * so what it says is not passed on to the others.
+ * Pauses that upstreams have requested of this instance. An upstream requests a pause of each
+ * instance separately, so pauses are not distributed.
  *
- * <p>Invariants: a pause is never shortened, neither by a later answer that asks for less nor by
- * one that asks for none; it ends with the incarnation that asked for it. Thread-safe.
+ * <p>Invariants: a pause is never shortened, neither by a later response that requests a shorter
+ * one nor by one that requests none; it ends with the incarnation that requested it. Thread-safe.
  */
 public final class UpstreamPauses {
     private static final PartLog LOG = PartLog.of("pacing");
@@ -31,16 +31,21 @@
     private final AtomicLong mAsked = new AtomicLong();
     private final UnreadableStatements mUnreadable = UnreadableStatements.ofTimesToComeBack();
 
-    /** Creates it without any pauses. */
+    /**
+     * Creates an empty set of pauses.
+     *
+     * @param clock monotonic clock
+     */
     public UpstreamPauses(MonotonicClock clock) {
         mClock = clock;
     }
 
     /**
-     * Learns from a response, which must be of that incarnation and to a call of this instance.
+     * Processes the statement of a response, which must come from that incarnation and belong to a
+     * call of this instance.
      *
-     * @param upstream the incarnation that responded
-     * @param statement what it states
+     * @param upstream incarnation that responded
+     * @param statement statement of the response
      */
     public void observe(Incarnation upstream, PauseStatement statement) {
         if (statement instanceof PauseStatement.Lasting pause) {
@@ -62,9 +67,9 @@
     }
 
     /**
-     * Tells whether an upstream has asked for a pause that is not over.
+     * Returns whether an upstream has requested a pause that is not over.
      *
-     * @param upstream the incarnation
+     * @param upstream incarnation of the upstream
      * @return true if nothing is to be sent to it now
      */
     public boolean isPaused(Incarnation upstream) {
@@ -72,10 +77,10 @@
     }
 
     /**
-     * Returns what is left of the pause of an upstream.
+     * Returns the remaining time of the pause of an upstream.
      *
-     * @param upstream the incarnation
-     * @return zero if it has asked for none, or that is over
+     * @param upstream incarnation of the upstream
+     * @return remaining time; zero if it has requested no pause or the pause is over
      */
     public Duration left(Incarnation upstream) {
         Long endNanos = mEndNanos.get(upstream);
@@ -91,9 +96,9 @@
     }
 
     /**
-     * Names the upstreams whose pauses are not over.
+     * Returns the upstreams whose pauses are not over.
      *
-     * @return their identities
+     * @return identities of the upstreams
      */
     public Set<String> paused() {
         return mEndNanos.isEmpty()
@@ -105,15 +110,15 @@
     }
 
     /**
-     * Forgets upstreams.
+     * Removes the pauses of upstreams that have ended.
      *
-     * @param hasEnded tells which
+     * @param hasEnded selects the incarnations to remove
      */
     public void forget(Predicate<Incarnation> hasEnded) {
         mEndNanos.keySet().removeIf(hasEnded);
     }
 
-    /** Returns what was counted, for logs. */
+    /** Returns the counters, for logs. */
     @Override
     public String toString() {
         return "%d answers asked for a pause, %d for one that is unreadable"
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamStatement.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamStatement.java
@@ -6,11 +6,11 @@
 package org.orchidmount.pacing;
 
 /**
- * What the head of a response states of the upstream that responds, besides what it answers.
+ * What the head of a response states about the upstream, in addition to the response itself.
  * Immutable.
  *
- * @param limit the requests that the upstream takes from all instances together
- * @param pause when it takes work of this instance again
- * @param isLeaving whether it leaves
+ * @param limit rate limit of the upstream for all instances together
+ * @param pause pause that the upstream requests of this instance
+ * @param isLeaving whether the upstream is about to leave
  */
 public record UpstreamStatement(LimitStatement limit, PauseStatement pause, boolean isLeaving) {}
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/package-info.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/package-info.java
@@ -4,10 +4,11 @@
  * SPDX-License-Identifier: Apache-2.0
  */
 /**
- * Limits that upstreams state of themselves in their responses: how many requests a second they
- * take from all instances together.
+ * Rate limits that upstreams state in their responses: how many requests per second they accept
+ * from all instances together.
  *
- * <p>Owns what is known of them ({@code UpstreamLimits}) and whether a request may be sent now
- * ({@code UpstreamPace}). Nothing here knows of header fields, links or how an upstream is chosen.
+ * <p>{@code UpstreamLimits} holds the known limits, and {@code UpstreamPace} decides whether a
+ * request may be sent now. This package does not depend on header fields, connections or the
+ * selection of upstreams.
  */
 package org.orchidmount.pacing;
