--- a/org.orchidmount.test/src/test/java/org/orchidmount/pacing/UpstreamPaceTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/pacing/UpstreamPaceTest.java
@@ -173,7 +173,7 @@
         mClock.advance(Duration.ofMillis(1));
         observe(UPSTREAM, new LimitStatement.Unreadable(text), true);
         assertThat(mLimits.find(UPSTREAM).orElseThrow().perSecond().getAsDouble()).isEqualTo(2.0);
-        assertThat(mPace.toString()).contains("1 statements unreadable");
+        assertThat(mPace.toString()).contains("1 limits unreadable");
     }
 
     /** A reservation, a refusal or an error may state none while the upstream is in need. */
--- a/org.orchidmount/src/main/java/org/orchidmount/membership/Incarnation.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/membership/Incarnation.java
@@ -54,7 +54,7 @@
     public static Incarnation startedAt(String id, long startMillis) {
         if (startMillis < 0) {
             throw new IllegalArgumentException(
-                    "the start %d of %s is negative; state Unix milliseconds"
+                    "invalid start %d of upstream %s: expected Unix milliseconds, at least 0"
                             .formatted(startMillis, id));
         }
         return new Incarnation(id, startMillis);
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/LimitStatement.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/LimitStatement.java
@@ -26,7 +26,8 @@
          */
         public PerSecond {
             if (!Double.isFinite(perSecond) || perSecond < 0) {
-                throw new IllegalArgumentException("a limit of " + perSecond + " a second");
+                throw new IllegalArgumentException(
+                        "invalid rate limit: " + perSecond + " requests per second");
             }
         }
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/PauseStatement.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/PauseStatement.java
@@ -28,7 +28,7 @@
          */
         public Lasting {
             if (length.isNegative()) {
-                throw new IllegalArgumentException("a pause of " + length);
+                throw new IllegalArgumentException("pause must not be negative, got " + length);
             }
         }
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/UnreadableStatements.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/UnreadableStatements.java
@@ -18,7 +18,10 @@
     private final String mKind;
     private final AtomicLong mCount = new AtomicLong();
 
-    /** Creates a counter for a kind as named in log lines, such as "a limit that is no number". */
+    /**
+     * Creates a counter for a kind as named in log lines, such as "a rate limit that is not a
+     * number".
+     */
     UnreadableStatements(String kind) {
         mKind = kind;
     }
@@ -29,7 +32,7 @@
      * @return counter at zero
      */
     public static UnreadableStatements ofTimesToComeBack() {
-        return new UnreadableStatements("a time to come back that is no number of seconds");
+        return new UnreadableStatements("a retry time that is not a number of seconds");
     }
 
     /**
@@ -44,7 +47,7 @@
         if (Long.bitCount(count) == 1) {
             int length = Math.min(text.length(), MAX_LOGGED_CHARACTERS);
             LOG.warn(
-                    "upstream %s states %s, %d such answers so far: %s; what was known holds on",
+                    "upstream %s sent %s, %d such responses so far: %s; keeping the previous value",
                     upstream, mKind, count, text.substring(0, length).replaceAll("[^ -~]", "?"));
         }
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamLimit.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamLimit.java
@@ -31,10 +31,12 @@
     public UpstreamLimit {
         double number = perSecond.orElse(0);
         if (!Double.isFinite(number) || number < 0) {
-            throw new IllegalArgumentException("a limit of " + number + " a second");
+            throw new IllegalArgumentException(
+                    "invalid rate limit: " + number + " requests per second");
         }
         if (version < 1) {
-            throw new IllegalArgumentException("a limit of version " + version + ", below 1");
+            throw new IllegalArgumentException(
+                    "version " + version + " of a rate limit is below 1");
         }
     }
 
@@ -68,7 +70,10 @@
     @Override
     public String toString() {
         String limit =
-                isInForce() ? perSecond.getAsDouble() + " requests a second" : "any requests";
-        return "%s takes %s (change %d, told to %s)".formatted(upstream, limit, version, teller);
+                isInForce()
+                        ? perSecond.getAsDouble() + " requests per second"
+                        : "requests at any rate";
+        return "%s accepts %s (version %d, received by %s)"
+                .formatted(upstream, limit, version, teller);
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamLimits.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamLimits.java
@@ -104,7 +104,7 @@
             UpstreamLimit limit = new UpstreamLimit(upstream, stated, version, mInstance);
             hold(limit);
             LOG.info(
-                    "upstream %s, by the answer to a request sent %.0f ms ago",
+                    "upstream %s, according to the response to a request sent %.0f ms ago",
                     limit, Millis.ofNanos(mClock.nanoTime() - sentNanos));
             return Optional.of(limit);
         }
@@ -132,7 +132,7 @@
                 Held held = mHeld.get(record.upstream());
                 if (held == null || record.isNewerThan(held.limit())) {
                     hold(record);
-                    LOG.info("upstream %s, as another instance says", record);
+                    LOG.info("upstream %s, according to another instance", record);
                     changed.add(record);
                 }
             }
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamPace.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamPace.java
@@ -80,7 +80,7 @@
 
     private final AtomicLong mChanges = new AtomicLong();
     private final UnreadableStatements mUnreadable =
-            new UnreadableStatements("a limit that is no number");
+            new UnreadableStatements("a rate limit that is not a number");
     private final AtomicLong mCounted = new AtomicLong();
     private final AtomicLong mAlone = new AtomicLong();
     private final AtomicLong mHeldBack = new AtomicLong();
@@ -375,8 +375,8 @@
     /** Returns the counters, for logs. */
     @Override
     public String toString() {
-        return ("%d changes heard, %d statements unreadable, %d requests counted by the owner, %d"
-                        + " sent without one; %s; held back %d times")
+        return ("%d limit changes received, %d limits unreadable, %d requests counted by the owner,"
+                        + " %d sent without an owner; %s; %d calls held back")
                 .formatted(
                         mChanges.get(),
                         mUnreadable.count(),
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamPauses.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamPauses.java
@@ -60,7 +60,7 @@
         long endNanos = mClock.nanoTime() + length.toNanos();
         if (!isPaused(upstream)) {
             LOG.info(
-                    "upstream %s takes nothing from this instance for %d ms",
+                    "upstream %s requested a pause of this instance for %d ms",
                     upstream, length.toMillis());
         }
         mEndNanos.merge(upstream, endNanos, (known, stated) -> stated - known > 0 ? stated : known);
@@ -121,7 +121,7 @@
     /** Returns the counters, for logs. */
     @Override
     public String toString() {
-        return "%d answers asked for a pause, %d for one that is unreadable"
+        return "%d pauses requested, %d pauses unreadable"
                 .formatted(mAsked.get(), mUnreadable.count());
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/ConnectProbe.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/ConnectProbe.java
@@ -67,10 +67,12 @@
                     new InetSocketAddress(peer.host(), peer.port()), (int) TIMEOUT.toMillis());
             return Finding.LISTENS;
         } catch (ConnectException e) {
-            LOG.debug("%s has ended: %s", peer.name(), e.getMessage());
+            LOG.debug(
+                    "upstream %s has terminated, its port refuses connections: %s",
+                    peer.name(), e.getMessage());
             return Finding.ENDED;
         } catch (IOException e) {
-            LOG.debug("%s is silent: %s", peer.name(), e.getMessage());
+            LOG.debug("no answer from the host of upstream %s: %s", peer.name(), e.getMessage());
             return Finding.SILENT;
         }
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/ConnectionWatch.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/ConnectionWatch.java
@@ -46,10 +46,14 @@
             socket.setSoTimeout((int) longest.toMillis());
             return isClosed(socket) && mProbe.probe(peer) == EndProbe.Finding.ENDED;
         } catch (ConnectException e) {
-            LOG.debug("%s has ended: %s", peer.name(), e.getMessage());
+            LOG.debug(
+                    "upstream %s has terminated, its port refuses connections: %s",
+                    peer.name(), e.getMessage());
             return true;
         } catch (IOException e) {
-            LOG.debug("%s cannot be watched: %s", peer.name(), e.getMessage());
+            LOG.debug(
+                    "cannot watch upstream %s for its termination: %s",
+                    peer.name(), e.getMessage());
             return false;
         }
     }
@@ -61,7 +65,7 @@
         } catch (SocketTimeoutException e) {
             return false;
         } catch (IOException e) {
-            LOG.debug("a watched connection breaks: %s", e.getMessage());
+            LOG.debug("connection to a watched upstream broke: %s", e.getMessage());
             return true;
         }
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashRecord.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashRecord.java
@@ -63,9 +63,9 @@
     public CrashRecord {
         if (epoch < 0 || crashes < 0 || crashesHere < 0 || position < 0) {
             throw new IllegalArgumentException(
-                    "a crash record of epoch %d, %d crashes, %d of them at position %d; none may be"
+                    "invalid crash record: epoch %d, %d crashes, %d of them at position %d; no"
                                     .formatted(epoch, crashes, crashesHere, position)
-                            + " negative");
+                            + " number may be negative");
         }
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashReports.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashReports.java
@@ -216,10 +216,12 @@
         for (CrashRecord record : changed) {
             if (record.isQuarantined()) {
                 LOG.warn(
-                        "the request %s is quarantined: %d upstreams have crashed under it",
+                        "request %s quarantined after %d consecutive upstream crashes",
                         record.fingerprint(), record.crashes());
             } else {
-                LOG.info("the request %s: %d crashes", record.fingerprint(), record.crashes());
+                LOG.info(
+                        "request %s: %d consecutive upstream crashes",
+                        record.fingerprint(), record.crashes());
             }
             mAnnouncer.announce(record);
         }
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/RequestFingerprint.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/RequestFingerprint.java
@@ -32,7 +32,8 @@
         boolean isHex = hex.chars().allMatch(digit -> "0123456789abcdef".indexOf(digit) >= 0);
         if (hex.length() != 2 * BYTES || !isHex) {
             throw new IllegalArgumentException(
-                    "a fingerprint has %d hexadecimal digits".formatted(2 * BYTES));
+                    "invalid fingerprint: expected %d hexadecimal digits in lower case"
+                            .formatted(2 * BYTES));
         }
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaAsk.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaAsk.java
@@ -21,7 +21,8 @@
      */
     public QuotaAsk {
         if (units < 0) {
-            throw new IllegalArgumentException("units is " + units + ", below 0");
+            throw new IllegalArgumentException(
+                    "invalid number of units: " + units + ", must be at least 0");
         }
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaLimit.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaLimit.java
@@ -27,13 +27,13 @@
         require("burst", burst, burst > 0);
         require("tolerance", tolerance, tolerance >= 0);
         if (!window.isPositive()) {
-            throw new IllegalArgumentException("the window is " + window);
+            throw new IllegalArgumentException("window must be above 0, got " + window);
         }
     }
 
     private static void require(String name, double value, boolean isInRange) {
         if (!Double.isFinite(value) || !isInRange) {
-            throw new IllegalArgumentException(name + " is " + value);
+            throw new IllegalArgumentException(name + " is out of range: " + value);
         }
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/SharedQuota.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/SharedQuota.java
@@ -42,7 +42,9 @@
             return answer;
         }
         QuotaAnswer second = await(mOwner.askOwner(ask), longest);
-        LOG.debug("%s: no owner answered, then %s", ask.key(), second.outcome());
+        LOG.debug(
+                "%s: quota owner did not answer; result of the second attempt: %s",
+                ask.key(), second.outcome());
         return second;
     }
 
@@ -55,7 +57,7 @@
             answer.complete(QuotaAnswer.NO_OWNER);
             return answer.join();
         } catch (ExecutionException e) {
-            throw new IllegalStateException("an answer of the owner failed", e);
+            throw new IllegalStateException("request to the quota owner failed", e);
         }
     }
 
