--- a/org.orchidmount.test/src/test/java/org/orchidmount/membership/RegistrationTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/membership/RegistrationTest.java
@@ -95,7 +95,7 @@
             State state,
             boolean isSame) {
         Registration other = new Registration(id, service, address, zone, slots, stage, state, 99);
-        assertThat(ready("i-1").saysSame(other)).isEqualTo(isSame);
+        assertThat(ready("i-1").equalsIgnoringSequence(other)).isEqualTo(isSame);
     }
 
     @Test
--- a/org.orchidmount.test/src/test/java/org/orchidmount/quarantine/ConnectProbeTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/quarantine/ConnectProbeTest.java
@@ -33,26 +33,27 @@
     @Test
     void aPortThatIsClosedAfterTheFirstLookHasEnded() throws IOException {
         ServerSocket socket = listen();
-        EndProbe probe = new ConnectProbe(pause -> closeQuietly(socket));
-        assertThat(probe.probe(peer(socket))).isEqualTo(EndProbe.Finding.ENDED);
+        TerminationProbe probe = new ConnectProbe(pause -> closeQuietly(socket));
+        assertThat(probe.probe(peer(socket))).isEqualTo(TerminationProbe.Finding.ENDED);
     }
 
     @Test
     void aPortThatIsClosedHasEndedWithoutAPause() throws IOException {
         ServerSocket socket = listen();
         socket.close();
-        EndProbe probe =
+        TerminationProbe probe =
                 new ConnectProbe(
                         pause -> {
                             throw new AssertionError("there is nothing to wait for");
                         });
-        assertThat(probe.probe(peer(socket))).isEqualTo(EndProbe.Finding.ENDED);
+        assertThat(probe.probe(peer(socket))).isEqualTo(TerminationProbe.Finding.ENDED);
     }
 
     @Test
     void aPortThatStaysOpenListens() throws IOException {
         try (ServerSocket socket = listen()) {
-            assertThat(new ConnectProbe().probe(peer(socket))).isEqualTo(EndProbe.Finding.LISTENS);
+            assertThat(new ConnectProbe().probe(peer(socket)))
+                    .isEqualTo(TerminationProbe.Finding.LISTENS);
         }
     }
 
--- a/org.orchidmount.test/src/test/java/org/orchidmount/quarantine/ConnectionWatchTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/quarantine/ConnectionWatchTest.java
@@ -33,7 +33,7 @@
     @Test
     void oneThatListensOnHasNotEnded() throws IOException {
         try (ServerSocket server = listen()) {
-            assertThat(mWatch.endsWithin(peer(server), SHORT)).isFalse();
+            assertThat(mWatch.awaitTermination(peer(server), SHORT)).isFalse();
         }
     }
 
@@ -43,14 +43,14 @@
         try (ServerSocket server = listen()) {
             peer = peer(server);
         }
-        assertThat(mWatch.endsWithin(peer, LONG)).isTrue();
+        assertThat(mWatch.awaitTermination(peer, LONG)).isTrue();
     }
 
     @Test
     void oneThatEndsIsSeen() throws IOException {
         ServerSocket server = listen();
         Thread.ofVirtual().start(() -> end(server));
-        assertThat(mWatch.endsWithin(peer(server), LONG)).isTrue();
+        assertThat(mWatch.awaitTermination(peer(server), LONG)).isTrue();
     }
 
     /** As the end of a process: its port first, then what was connected. */
@@ -69,7 +69,7 @@
     void oneThatOnlyClosesTheConnectionHasNotEnded() throws IOException {
         try (ServerSocket server = listen()) {
             Thread.ofVirtual().start(() -> closeNext(server));
-            assertThat(mWatch.endsWithin(peer(server), LONG)).isFalse();
+            assertThat(mWatch.awaitTermination(peer(server), LONG)).isFalse();
         }
     }
 
--- a/org.orchidmount.test/src/test/java/org/orchidmount/quarantine/CrashReportsTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/quarantine/CrashReportsTest.java
@@ -33,7 +33,7 @@
     private final CrashRegistry mRegistry = new CrashRegistry(mClock);
     private final List<CrashRecord> mAnnounced = new ArrayList<>();
     private volatile boolean mEnds;
-    private EndProbe.Finding mFinding = EndProbe.Finding.LISTENS;
+    private TerminationProbe.Finding mFinding = TerminationProbe.Finding.LISTENS;
     private final CrashReports mReports =
             new CrashReports(
                     mRegistry,
@@ -59,7 +59,7 @@
         Incarnation upstream =
                 registration("i-1", startMillis, ADDRESS, Registration.State.READY).incarnation();
         CrashRecord after = CrashRecord.none(REQUEST).afterCrash(0, 0);
-        mReports.mayHaveCrashed(how.mFailure, after, upstream, PEER);
+        mReports.suspectedCrash(how.mFailure, after, upstream, PEER);
     }
 
     private static Registration registration(
@@ -114,7 +114,7 @@
         "SILENT, ENDED, 0",
     })
     void aBrokenCallToAnUpstreamThatHasEndedCountsAtOnce(
-            HowFailed how, EndProbe.Finding finding, int crashes) {
+            HowFailed how, TerminationProbe.Finding finding, int crashes) {
         mFinding = finding;
         fail(how, 5);
         assertThat(mRegistry.find(REQUEST).crashes()).isEqualTo(crashes);
--- a/org.orchidmount.test/src/test/java/org/orchidmount/quota/QuotaReserveTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/quota/QuotaReserveTest.java
@@ -31,8 +31,8 @@
     /** What a site tolerates is given out once: to three leases in a window and all reserves. */
     @Test
     void thePartsOfTheToleranceAreOneWhole() {
-        double starts = QuotaTolerance.FIRST_START_SHARE + 2 * QuotaTolerance.NEXT_START_SHARE;
-        double atAllTimes = QuotaTolerance.USED_SHARE + QuotaTolerance.OVERDRAFT_SHARE;
+        double starts = QuotaTolerance.FIRST_LEASE_SHARE + 2 * QuotaTolerance.LATER_LEASE_SHARE;
+        double atAllTimes = QuotaTolerance.CONSTANT_SHARE + QuotaTolerance.OVERDRAFT_SHARE;
         assertThat(starts + atAllTimes + QuotaTolerance.RESERVE_SHARE).isWithin(1e-9).of(1);
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/membership/Registration.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/membership/Registration.java
@@ -138,7 +138,7 @@
      * @param other the other registration
      * @return true if at most the sequence numbers differ
      */
-    public boolean saysSame(Registration other) {
+    public boolean equalsIgnoringSequence(Registration other) {
         return incarnation.equals(other.incarnation)
                 && service.equals(other.service)
                 && address.equals(other.address)
--- a/org.orchidmount/src/main/java/org/orchidmount/membership/Registry.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/membership/Registry.java
@@ -24,17 +24,17 @@
  */
 public final class Registry {
     private final Map<String, Entry> mEntries = new HashMap<>();
-    private final long mRememberNanos;
+    private final long mRetentionNanos;
 
-    private record Entry(Registration registration, long heardNanos) {}
+    private record Entry(Registration registration, long receivedNanos) {}
 
     /**
      * Creates an empty registry.
      *
-     * @param rememberNanos how long departed upstreams are retained
+     * @param retentionNanos how long departed upstreams are retained
      */
-    public Registry(long rememberNanos) {
-        mRememberNanos = rememberNanos;
+    public Registry(long retentionNanos) {
+        mRetentionNanos = retentionNanos;
     }
 
     /**
@@ -55,7 +55,9 @@
         }
         Registration merged = held.registration().merge(message);
         mEntries.put(message.id(), new Entry(merged, nowNanos));
-        return merged.saysSame(held.registration()) ? Optional.empty() : Optional.of(merged);
+        return merged.equalsIgnoringSequence(held.registration())
+                ? Optional.empty()
+                : Optional.of(merged);
     }
 
     /**
@@ -113,7 +115,7 @@
      */
     public List<Registration> all() {
         return mEntries.values().stream()
-                .sorted(Comparator.comparingLong(Entry::heardNanos))
+                .sorted(Comparator.comparingLong(Entry::receivedNanos))
                 .map(Entry::registration)
                 .toList();
     }
@@ -141,8 +143,8 @@
     public List<Registration> heardBetween(long fromNanos, long beforeNanos) {
         List<Registration> received = new ArrayList<>();
         for (Entry entry : mEntries.values()) {
-            long heardNanos = entry.heardNanos();
-            if (heardNanos - fromNanos >= 0 && heardNanos - beforeNanos < 0) {
+            long receivedNanos = entry.receivedNanos();
+            if (receivedNanos - fromNanos >= 0 && receivedNanos - beforeNanos < 0) {
                 received.add(entry.registration());
             }
         }
@@ -159,6 +161,6 @@
                 .removeIf(
                         entry ->
                                 entry.registration().state() == State.GONE
-                                        && nowNanos - entry.heardNanos() > mRememberNanos);
+                                        && nowNanos - entry.receivedNanos() > mRetentionNanos);
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/LonePace.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/LocalRateLimiter.java
@@ -25,12 +25,12 @@
  * waits for a random part of the interval between two requests. The sum over all instances
  * therefore does not exceed that half, whichever of them have requests. Thread-safe.
  */
-final class LonePace {
+final class LocalRateLimiter {
     /**
      * Share of a limit that all instances without an owner send together. They send in addition to
      * the instances that can reach the owner, and upstreams tolerate half more than their limit.
      */
-    private static final double LONE_SHARE = 0.5;
+    private static final double LOCAL_SHARE = 0.5;
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
@@ -42,7 +42,7 @@
     /** Monotonic time of the next permitted request; a time long past is stale. */
     private final Map<Incarnation, Long> mNextNanos = new HashMap<>();
 
-    LonePace(IntSupplier instances, RandomGenerator random, MonotonicClock clock) {
+    LocalRateLimiter(IntSupplier instances, RandomGenerator random, MonotonicClock clock) {
         mInstances = instances;
         mRandom = random;
         mClock = clock;
@@ -57,15 +57,16 @@
      */
     Duration take(Incarnation upstream, double perSecond) {
         long nowNanos = mClock.nanoTime();
-        double rate = LONE_SHARE * perSecond;
-        long pauseNanos = (long) Millis.toNanos(MILLIS_PER_SECOND * mInstances.getAsInt() / rate);
+        double rate = LOCAL_SHARE * perSecond;
+        long intervalNanos =
+                (long) Millis.toNanos(MILLIS_PER_SECOND * mInstances.getAsInt() / rate);
         try (OrderedLock.Held _ = mLock.hold()) {
             Long known = mNextNanos.get(upstream);
-            boolean isCurrent = known != null && nowNanos - known <= pauseNanos;
+            boolean isCurrent = known != null && nowNanos - known <= intervalNanos;
             long nextNanos =
-                    isCurrent ? known : nowNanos + (long) (mRandom.nextDouble() * pauseNanos);
+                    isCurrent ? known : nowNanos + (long) (mRandom.nextDouble() * intervalNanos);
             boolean mayBeSent = nowNanos - nextNanos >= 0;
-            mNextNanos.put(upstream, mayBeSent ? nextNanos + pauseNanos : nextNanos);
+            mNextNanos.put(upstream, mayBeSent ? nextNanos + intervalNanos : nextNanos);
             return mayBeSent ? Duration.ZERO : Duration.ofNanos(nextNanos - nowNanos);
         }
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/ReturnQueue.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/RetryQueue.java
@@ -16,12 +16,12 @@
  * Schedules the retries of refused callers, so that each finds capacity after those that were
  * refused before it. One queue per service. Thread-safe.
  */
-final class ReturnQueue {
+final class RetryQueue {
     private final OrderedLock mLock = new OrderedLock(LockRank.UPSTREAM_LIMITS);
     private final MonotonicClock mClock;
     private final Map<String, Long> mLastNanos = new HashMap<>();
 
-    ReturnQueue(MonotonicClock clock) {
+    RetryQueue(MonotonicClock clock) {
         mClock = clock;
     }
 
@@ -29,23 +29,23 @@
      * Assigns a retry time to a caller.
      *
      * @param service name of the service
-     * @param untilRoom time until this instance has capacity for the next request
-     * @param pause interval between two requests for which this instance has capacity
-     * @param longest how long the caller can wait; one that cannot wait for its retry time takes no
+     * @param untilCapacity time until this instance has capacity for the next request
+     * @param interval interval between two requests for which this instance has capacity
+     * @param maxWait how long the caller can wait; one that cannot wait for its retry time takes no
      *     place in the queue
      * @return time after which to retry
      */
-    Duration join(String service, Duration untilRoom, Duration pause, Duration longest) {
+    Duration join(String service, Duration untilCapacity, Duration interval, Duration maxWait) {
         long nowNanos = mClock.nanoTime();
-        long firstNanos = nowNanos + untilRoom.toNanos();
+        long firstNanos = nowNanos + untilCapacity.toNanos();
         try (OrderedLock.Held _ = mLock.hold()) {
             Long lastNanos = mLastNanos.get(service);
             long nextNanos = firstNanos;
-            if (lastNanos != null && lastNanos + pause.toNanos() - firstNanos > 0) {
-                nextNanos = lastNanos + pause.toNanos();
+            if (lastNanos != null && lastNanos + interval.toNanos() - firstNanos > 0) {
+                nextNanos = lastNanos + interval.toNanos();
             }
             Duration wait = Duration.ofNanos(nextNanos - nowNanos);
-            if (wait.compareTo(longest) <= 0) {
+            if (wait.compareTo(maxWait) <= 0) {
                 mLastNanos.put(service, nextNanos);
             }
             return wait;
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamLimits.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamLimits.java
@@ -37,32 +37,32 @@
     public static final int CAPACITY = 16_384;
 
     /** Retention of revoked limits, while older records may still be in transit. */
-    private static final Duration REMEMBER_ENDED = Duration.ofMinutes(10);
+    private static final Duration REVOKED_RETENTION = Duration.ofMinutes(10);
 
     /**
      * Relative change below which a limit is not announced to all instances; the tolerance of
      * upstreams is wider.
      */
-    private static final double LEAST_CHANGE_SHARE = 0.1;
+    private static final double MIN_CHANGE_SHARE = 0.1;
 
     private static final PartLog LOG = PartLog.of("pacing");
 
     private final OrderedLock mLock = new OrderedLock(LockRank.UPSTREAM_LIMITS);
-    private final Map<Incarnation, Held> mHeld = new HashMap<>();
+    private final Map<Incarnation, Entry> mEntries = new HashMap<>();
     private final String mInstance;
     private final MonotonicClock mClock;
 
     /** Read without the lock, so that responses incur no cost while no limit is known. */
     private volatile boolean mIsEmpty = true;
 
-    private record Held(UpstreamLimit limit, long learnedNanos) {
+    private record Entry(UpstreamLimit limit, long learnedNanos) {
         /** Eviction order: revoked limits first, then the oldest. */
-        static final Comparator<Held> GIVES_WAY =
-                Comparator.comparing((Held held) -> held.limit.isInForce())
-                        .thenComparingLong(Held::learnedNanos);
+        static final Comparator<Entry> EVICTION_ORDER =
+                Comparator.comparing((Entry held) -> held.limit.isInForce())
+                        .thenComparingLong(Entry::learnedNanos);
 
-        boolean isOld(long nowNanos) {
-            boolean isLongAgo = nowNanos - learnedNanos > REMEMBER_ENDED.toNanos();
+        boolean isExpired(long nowNanos) {
+            boolean isLongAgo = nowNanos - learnedNanos > REVOKED_RETENTION.toNanos();
             return isLongAgo && !limit.isInForce();
         }
     }
@@ -92,12 +92,12 @@
             return Optional.empty();
         }
         try (OrderedLock.Held _ = mLock.hold()) {
-            Held held = mHeld.get(upstream);
-            boolean isNews =
+            Entry held = mEntries.get(upstream);
+            boolean isChange =
                     held == null
                             ? stated.isPresent()
                             : sentNanos - held.learnedNanos() >= 0 && differs(held.limit(), stated);
-            if (!isNews) {
+            if (!isChange) {
                 return Optional.empty();
             }
             long version = held == null ? 1 : held.limit().version() + 1;
@@ -116,7 +116,7 @@
         }
         double before = known.perSecond().getAsDouble();
         double change = Math.abs(stated.getAsDouble() - before);
-        return change > LEAST_CHANGE_SHARE * before;
+        return change > MIN_CHANGE_SHARE * before;
     }
 
     /**
@@ -129,7 +129,7 @@
         try (OrderedLock.Held _ = mLock.hold()) {
             List<UpstreamLimit> changed = new ArrayList<>();
             for (UpstreamLimit record : records) {
-                Held held = mHeld.get(record.upstream());
+                Entry held = mEntries.get(record.upstream());
                 if (held == null || record.isNewerThan(held.limit())) {
                     hold(record);
                     LOG.info("upstream %s, according to another instance", record);
@@ -142,13 +142,13 @@
 
     private void hold(UpstreamLimit limit) {
         long nowNanos = mClock.nanoTime();
-        mHeld.put(limit.upstream(), new Held(limit, nowNanos));
-        mHeld.values().removeIf(held -> held.isOld(nowNanos));
-        while (mHeld.size() > CAPACITY) {
-            Held first = mHeld.values().stream().min(Held.GIVES_WAY).orElseThrow();
-            mHeld.remove(first.limit().upstream());
+        mEntries.put(limit.upstream(), new Entry(limit, nowNanos));
+        mEntries.values().removeIf(held -> held.isExpired(nowNanos));
+        while (mEntries.size() > CAPACITY) {
+            Entry first = mEntries.values().stream().min(Entry.EVICTION_ORDER).orElseThrow();
+            mEntries.remove(first.limit().upstream());
         }
-        mIsEmpty = mHeld.isEmpty();
+        mIsEmpty = mEntries.isEmpty();
     }
 
     /**
@@ -171,8 +171,8 @@
             return Optional.empty();
         }
         try (OrderedLock.Held _ = mLock.hold()) {
-            return Optional.ofNullable(mHeld.get(upstream))
-                    .map(Held::limit)
+            return Optional.ofNullable(mEntries.get(upstream))
+                    .map(Entry::limit)
                     .filter(UpstreamLimit::isInForce);
         }
     }
@@ -184,7 +184,7 @@
      */
     public List<UpstreamLimit> all() {
         try (OrderedLock.Held _ = mLock.hold()) {
-            return mHeld.values().stream().map(Held::limit).toList();
+            return mEntries.values().stream().map(Entry::limit).toList();
         }
     }
 
@@ -213,8 +213,8 @@
             return;
         }
         try (OrderedLock.Held _ = mLock.hold()) {
-            mHeld.keySet().removeIf(hasEnded);
-            mIsEmpty = mHeld.isEmpty();
+            mEntries.keySet().removeIf(hasEnded);
+            mIsEmpty = mEntries.isEmpty();
         }
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamPace.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamPace.java
@@ -32,9 +32,9 @@
  * which applies to the instance that received it.
  *
  * <p>One owner counts for all instances ({@link SharedQuota}); while there is none, each instance
- * keeps to an equal share ({@link LonePace}). Each request is counted just before it is sent: first
- * and further attempts, prefills, and a reservation together with the run for which it is made.
- * Releases, reports and orders are not counted, since they cause no work.
+ * keeps to an equal share ({@link LocalRateLimiter}). Each request is counted just before it is
+ * sent: first and further attempts, prefills, and a reservation together with the run for which it
+ * is made. Releases, reports and orders are not counted, since they cause no work.
  *
  * <p>Invariants: the owner is not asked about an upstream that states no limit; for one without
  * capacity it is not asked again by this instance before the time that it named; nothing is sent to
@@ -45,7 +45,7 @@
      * Minimum rate. An upstream whose limit is zero still gets one request every five seconds,
      * since only a response can show that it accepts requests again.
      */
-    private static final double LEAST_PER_SECOND = 0.2;
+    private static final double MIN_PER_SECOND = 0.2;
 
     /** Burst beyond the rate: the requests of this part of a second, plus one request. */
     private static final double BURST_SECONDS = 0.25;
@@ -54,16 +54,16 @@
     private static final Duration WINDOW = Duration.ofSeconds(4);
 
     /** Maximum time until the owner is asked again; there may be an owner again after this time. */
-    private static final Duration ASK_AGAIN_AFTER = Duration.ofMillis(200);
+    private static final Duration OWNER_RETRY_INTERVAL = Duration.ofMillis(200);
 
     /**
      * Share of its target that a request may wait for an answer of the owner, in each of at most
      * two attempts.
      */
-    private static final double OWNER_WAIT_SHARE = 0.06;
+    private static final double OWNER_TIMEOUT_SHARE = 0.06;
 
     /** Maximum retry time due to other callers, since callers rarely wait longer. */
-    private static final Duration LONGEST_QUEUE = Duration.ofSeconds(8);
+    private static final Duration MAX_QUEUE_WAIT = Duration.ofSeconds(8);
 
     private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
@@ -72,17 +72,17 @@
     private final SharedQuota mQuota;
     private final IntSupplier mInstances;
     private final MonotonicClock mClock;
-    private final LonePace mLonePace;
-    private final ReturnQueue mReturns;
+    private final LocalRateLimiter mLocalLimiter;
+    private final RetryQueue mRetryQueue;
     private final UpstreamPauses mPauses;
 
-    private final Map<Incarnation, Full> mFull = new ConcurrentHashMap<>();
+    private final Map<Incarnation, Exhausted> mExhausted = new ConcurrentHashMap<>();
 
     private final AtomicLong mChanges = new AtomicLong();
     private final UnreadableStatements mUnreadable =
             new UnreadableStatements("a rate limit that is not a number");
     private final AtomicLong mCounted = new AtomicLong();
-    private final AtomicLong mAlone = new AtomicLong();
+    private final AtomicLong mSentWithoutOwner = new AtomicLong();
     private final AtomicLong mHeldBack = new AtomicLong();
 
     /**
@@ -91,7 +91,7 @@
      * @param limit limit that was reached; once another limit is known, the owner is asked again
      * @param untilNanos monotonic time at which there may be capacity under that limit
      */
-    private record Full(UpstreamLimit limit, long untilNanos) {}
+    private record Exhausted(UpstreamLimit limit, long untilNanos) {}
 
     /**
      * Creates the rate control.
@@ -115,8 +115,8 @@
         mQuota = quota;
         mInstances = instances;
         mClock = clock;
-        mLonePace = new LonePace(instances, random, clock);
-        mReturns = new ReturnQueue(clock);
+        mLocalLimiter = new LocalRateLimiter(instances, random, clock);
+        mRetryQueue = new RetryQueue(clock);
         mPauses = new UpstreamPauses(clock);
     }
 
@@ -173,20 +173,20 @@
         if (limit.isEmpty()) {
             return SendPermit.FREE;
         }
-        if (!untilRoom(upstream).isZero()) {
+        if (!untilCapacity(upstream).isZero()) {
             return refused();
         }
         QuotaAsk ask = ask(limit.get());
-        Duration longest = Duration.ofNanos((long) (OWNER_WAIT_SHARE * target.toNanos()));
+        Duration longest = Duration.ofNanos((long) (OWNER_TIMEOUT_SHARE * target.toNanos()));
         QuotaAnswer answer = mQuota.take(ask, longest);
         if (answer.isGranted()) {
             mCounted.incrementAndGet();
             return SendPermit.counted(ask);
         }
         if (answer.outcome() == QuotaAnswer.Outcome.NO_OWNER) {
-            return takeAlone(limit.get());
+            return takeWithoutOwner(limit.get());
         }
-        full(limit.get(), answer.comeBackAfter());
+        markExhausted(limit.get(), answer.comeBackAfter());
         return refused();
     }
 
@@ -197,16 +197,17 @@
     }
 
     private static double rate(UpstreamLimit limit) {
-        return Math.max(LEAST_PER_SECOND, limit.perSecond().orElseThrow());
+        return Math.max(MIN_PER_SECOND, limit.perSecond().orElseThrow());
     }
 
-    private SendPermit takeAlone(UpstreamLimit limit) {
-        Duration wait = mLonePace.take(limit.upstream(), rate(limit));
+    private SendPermit takeWithoutOwner(UpstreamLimit limit) {
+        Duration wait = mLocalLimiter.take(limit.upstream(), rate(limit));
         if (wait.isZero()) {
-            mAlone.incrementAndGet();
+            mSentWithoutOwner.incrementAndGet();
             return SendPermit.FREE;
         }
-        full(limit, wait.compareTo(ASK_AGAIN_AFTER) < 0 ? wait : ASK_AGAIN_AFTER);
+        markExhausted(
+                limit, wait.compareTo(OWNER_RETRY_INTERVAL) < 0 ? wait : OWNER_RETRY_INTERVAL);
         return refused();
     }
 
@@ -215,8 +216,8 @@
         return SendPermit.REFUSED;
     }
 
-    private void full(UpstreamLimit limit, Duration wait) {
-        mFull.put(limit.upstream(), new Full(limit, mClock.nanoTime() + wait.toNanos()));
+    private void markExhausted(UpstreamLimit limit, Duration wait) {
+        mExhausted.put(limit.upstream(), new Exhausted(limit, mClock.nanoTime() + wait.toNanos()));
     }
 
     /**
@@ -253,12 +254,12 @@
      */
     public boolean refusedBy(Incarnation upstream) {
         Optional<UpstreamLimit> limit = mLimits.find(upstream);
-        limit.ifPresent(known -> full(known, pause(rate(known))));
+        limit.ifPresent(known -> markExhausted(known, interval(rate(known))));
         return limit.isPresent() || mPauses.isPaused(upstream);
     }
 
     /** Returns the interval between two requests at a rate. */
-    private static Duration pause(double perSecond) {
+    private static Duration interval(double perSecond) {
         return Duration.ofNanos((long) (NANOS_PER_SECOND / perSecond));
     }
 
@@ -269,31 +270,28 @@
      * @return time until then; zero if one is available now
      */
     public Duration untilAnyTakesWork(Collection<Incarnation> upstreams) {
-        return upstreams.stream()
-                .map(this::untilItTakesWork)
-                .min(Duration::compareTo)
-                .orElseThrow();
+        return upstreams.stream().map(this::untilAvailable).min(Duration::compareTo).orElseThrow();
     }
 
     /** Returns how long this instance sends nothing to an upstream. */
-    private Duration untilItTakesWork(Incarnation upstream) {
-        Duration untilRoom = untilRoom(upstream);
-        Duration pause = mPauses.left(upstream);
-        return pause.compareTo(untilRoom) > 0 ? pause : untilRoom;
+    private Duration untilAvailable(Incarnation upstream) {
+        Duration untilCapacity = untilCapacity(upstream);
+        Duration pause = mPauses.remaining(upstream);
+        return pause.compareTo(untilCapacity) > 0 ? pause : untilCapacity;
     }
 
     /** Returns how long this instance requests no more capacity of an upstream. */
-    private Duration untilRoom(Incarnation upstream) {
-        Full full = mFull.get(upstream);
-        if (full == null) {
+    private Duration untilCapacity(Incarnation upstream) {
+        Exhausted exhausted = mExhausted.get(upstream);
+        if (exhausted == null) {
             return Duration.ZERO;
         }
-        long leftNanos = full.untilNanos() - mClock.nanoTime();
-        if (leftNanos <= 0 || !mLimits.find(upstream).equals(Optional.of(full.limit()))) {
-            mFull.remove(upstream, full);
+        long remainingNanos = exhausted.untilNanos() - mClock.nanoTime();
+        if (remainingNanos <= 0 || !mLimits.find(upstream).equals(Optional.of(exhausted.limit()))) {
+            mExhausted.remove(upstream, exhausted);
             return Duration.ZERO;
         }
-        return Duration.ofNanos(leftNanos);
+        return Duration.ofNanos(remainingNanos);
     }
 
     /**
@@ -315,12 +313,12 @@
      */
     public Set<String> passedOver() {
         Set<String> paused = mPauses.paused();
-        if (mFull.isEmpty()) {
+        if (mExhausted.isEmpty()) {
             return paused;
         }
         Set<String> names = new HashSet<>(paused);
-        for (Incarnation upstream : mFull.keySet()) {
-            if (!untilRoom(upstream).isZero()) {
+        for (Incarnation upstream : mExhausted.keySet()) {
+            if (!untilCapacity(upstream).isZero()) {
                 names.add(upstream.id());
             }
         }
@@ -349,11 +347,11 @@
                         .mapToDouble(
                                 limit -> limit.map(UpstreamPace::rate).orElse(unlimitedPerSecond))
                         .sum();
-        Duration untilOneTakesWork = untilAnyTakesWork(upstreams);
-        Duration pause = pause(perSecond / mInstances.getAsInt());
-        Duration wait = mReturns.join(service, untilOneTakesWork, pause, longest);
-        Duration most = untilOneTakesWork.plus(LONGEST_QUEUE);
-        return wait.compareTo(most) < 0 ? wait : most;
+        Duration untilAnyAvailable = untilAnyTakesWork(upstreams);
+        Duration interval = interval(perSecond / mInstances.getAsInt());
+        Duration wait = mRetryQueue.join(service, untilAnyAvailable, interval, longest);
+        Duration maxWait = untilAnyAvailable.plus(MAX_QUEUE_WAIT);
+        return wait.compareTo(maxWait) < 0 ? wait : maxWait;
     }
 
     /**
@@ -368,8 +366,8 @@
             return;
         }
         mLimits.forget(hasEnded);
-        mFull.keySet().removeIf(hasEnded);
-        mLonePace.forget(hasEnded);
+        mExhausted.keySet().removeIf(hasEnded);
+        mLocalLimiter.forget(hasEnded);
     }
 
     /** Returns the counters, for logs. */
@@ -381,7 +379,7 @@
                         mChanges.get(),
                         mUnreadable.count(),
                         mCounted.get(),
-                        mAlone.get(),
+                        mSentWithoutOwner.get(),
                         mPauses,
                         mHeldBack.get());
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamPauses.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamPauses.java
@@ -28,7 +28,7 @@
 
     private final MonotonicClock mClock;
     private final Map<Incarnation, Long> mEndNanos = new ConcurrentHashMap<>();
-    private final AtomicLong mAsked = new AtomicLong();
+    private final AtomicLong mRequested = new AtomicLong();
     private final UnreadableStatements mUnreadable = UnreadableStatements.ofTimesToComeBack();
 
     /**
@@ -56,7 +56,7 @@
     }
 
     private void extend(Incarnation upstream, Duration length) {
-        mAsked.incrementAndGet();
+        mRequested.incrementAndGet();
         long endNanos = mClock.nanoTime() + length.toNanos();
         if (!isPaused(upstream)) {
             LOG.info(
@@ -73,7 +73,7 @@
      * @return true if nothing is to be sent to it now
      */
     public boolean isPaused(Incarnation upstream) {
-        return left(upstream).isPositive();
+        return remaining(upstream).isPositive();
     }
 
     /**
@@ -82,17 +82,17 @@
      * @param upstream incarnation of the upstream
      * @return remaining time; zero if it has requested no pause or the pause is over
      */
-    public Duration left(Incarnation upstream) {
+    public Duration remaining(Incarnation upstream) {
         Long endNanos = mEndNanos.get(upstream);
         if (endNanos == null) {
             return Duration.ZERO;
         }
-        long leftNanos = endNanos - mClock.nanoTime();
-        if (leftNanos <= 0) {
+        long remainingNanos = endNanos - mClock.nanoTime();
+        if (remainingNanos <= 0) {
             mEndNanos.remove(upstream, endNanos);
             return Duration.ZERO;
         }
-        return Duration.ofNanos(leftNanos);
+        return Duration.ofNanos(remainingNanos);
     }
 
     /**
@@ -122,6 +122,6 @@
     @Override
     public String toString() {
         return "%d pauses requested, %d pauses unreadable"
-                .formatted(mAsked.get(), mUnreadable.count());
+                .formatted(mRequested.get(), mUnreadable.count());
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/ConnectProbe.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/ConnectProbe.java
@@ -22,49 +22,50 @@
  * termination were missed for that reason, the crash would not be counted, and the request would go
  * on to crash another upstream.
  */
-public final class ConnectProbe implements EndProbe {
+public final class ConnectProbe implements TerminationProbe {
     private static final PartLog LOG = PartLog.of("crash");
 
     /** Connection attempts to a port that stays open; the last one decides. */
-    private static final int LOOKS = 3;
+    private static final int MAX_ATTEMPTS = 3;
 
     /** Time between two attempts, far longer than it takes to close the sockets of a process. */
-    private static final Duration PAUSE = Duration.ofMillis(20);
+    private static final Duration RETRY_INTERVAL = Duration.ofMillis(20);
 
     /** Delays the retry of a request; far longer than a round trip. */
-    private static final Duration TIMEOUT = Duration.ofMillis(100);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(100);
 
-    private final Pauser mPauser;
+    private final Sleeper mSleeper;
 
     /** Sleeps between two attempts; replaced in tests. */
     @FunctionalInterface
-    interface Pauser {
-        void pause(Duration time);
+    interface Sleeper {
+        void sleep(Duration time);
     }
 
     /** Creates a probe that sleeps in real time. */
     public ConnectProbe() {
-        this(pause -> LockSupport.parkNanos(pause.toNanos()));
+        this(time -> LockSupport.parkNanos(time.toNanos()));
     }
 
-    ConnectProbe(Pauser pauser) {
-        mPauser = pauser;
+    ConnectProbe(Sleeper sleeper) {
+        mSleeper = sleeper;
     }
 
     @Override
     public Finding probe(Peer peer) {
-        Finding finding = look(peer);
-        for (int looks = 1; looks < LOOKS && finding == Finding.LISTENS; looks++) {
-            mPauser.pause(PAUSE);
-            finding = look(peer);
+        Finding finding = connect(peer);
+        for (int attempts = 1; attempts < MAX_ATTEMPTS && finding == Finding.LISTENS; attempts++) {
+            mSleeper.sleep(RETRY_INTERVAL);
+            finding = connect(peer);
         }
         return finding;
     }
 
-    private static Finding look(Peer peer) {
+    private static Finding connect(Peer peer) {
         try (Socket socket = new Socket()) {
             socket.connect(
-                    new InetSocketAddress(peer.host(), peer.port()), (int) TIMEOUT.toMillis());
+                    new InetSocketAddress(peer.host(), peer.port()),
+                    (int) CONNECT_TIMEOUT.toMillis());
             return Finding.LISTENS;
         } catch (ConnectException e) {
             LOG.debug(
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/ConnectionWatch.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/ConnectionWatch.java
@@ -19,13 +19,13 @@
  * end terminates. A connection that is closed while the port still accepts connections was closed
  * because it was idle. Immutable and thread-safe.
  */
-public final class ConnectionWatch implements EndWatch {
+public final class ConnectionWatch implements TerminationWatch {
     private static final PartLog LOG = PartLog.of("crash");
 
     /** Far longer than a round trip within a site. */
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(100);
 
-    private final EndProbe mProbe;
+    private final TerminationProbe mProbe;
 
     /**
      * Creates a watch.
@@ -33,18 +33,18 @@
      * @param probe determines whether the port still accepts connections after the connection was
      *     closed
      */
-    public ConnectionWatch(EndProbe probe) {
+    public ConnectionWatch(TerminationProbe probe) {
         mProbe = probe;
     }
 
     @Override
-    public boolean endsWithin(Peer peer, Duration longest) {
+    public boolean awaitTermination(Peer peer, Duration timeout) {
         try (Socket socket = new Socket()) {
             socket.connect(
                     new InetSocketAddress(peer.host(), peer.port()),
                     (int) CONNECT_TIMEOUT.toMillis());
-            socket.setSoTimeout((int) longest.toMillis());
-            return isClosed(socket) && mProbe.probe(peer) == EndProbe.Finding.ENDED;
+            socket.setSoTimeout((int) timeout.toMillis());
+            return awaitClose(socket) && mProbe.probe(peer) == TerminationProbe.Finding.ENDED;
         } catch (ConnectException e) {
             LOG.debug(
                     "upstream %s has terminated, its port refuses connections: %s",
@@ -59,7 +59,7 @@
     }
 
     /** Blocks until the peer closes the connection or the socket timeout expires. */
-    private static boolean isClosed(Socket socket) {
+    private static boolean awaitClose(Socket socket) {
         try {
             return socket.getInputStream().read() < 0;
         } catch (SocketTimeoutException e) {
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashRecord.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashRecord.java
@@ -9,9 +9,9 @@
  * Number of consecutive upstream crashes while a request was running. Immutable.
  *
  * <p>A request is quarantined after {@link #QUARANTINE_AFTER} crashes at the same position of its
- * output, or after {@link #QUARANTINE_AFTER_ANYWHERE} at any positions. Each of these runs must
- * have begun when the previous crashes were already known. A request that is running while an
- * upstream crashes for another reason is therefore cleared or spared:
+ * output, or after {@link #QUARANTINE_AFTER_TOTAL} at any positions. Each of these runs must have
+ * begun when the previous crashes were already known. A request that is running while an upstream
+ * crashes for another reason is therefore cleared or spared:
  *
  * <ul>
  *   <li>a completed run clears it, and a request that crashes its upstreams never completes;
@@ -44,7 +44,7 @@
      * Crashes at any positions after which a request is not run again. In simulated days of traffic
      * no harmless request reaches this number.
      */
-    public static final int QUARANTINE_AFTER_ANYWHERE = 6;
+    public static final int QUARANTINE_AFTER_TOTAL = 6;
 
     /** Events by which two runs that crash at the same position may differ. */
     private static final long POSITION_MARGIN = 1;
@@ -53,7 +53,7 @@
      * Divisor of the position for the additional margin of longer outputs, needed because an event
      * may hold several tokens.
      */
-    private static final long POSITION_MARGIN_SHARE = 16;
+    private static final long POSITION_MARGIN_DIVISOR = 16;
 
     /**
      * Creates a record.
@@ -83,25 +83,26 @@
      * Adds the crash of an upstream that was running the request. This record must be the one that
      * was known when the run began.
      *
-     * @param from position at which the run resumed: the last event that the caller had; 0 for none
-     * @param at position that the run reached
+     * @param resumePosition position at which the run resumed: the last event that the caller had;
+     *     0 for none
+     * @param crashPosition position that the run reached
      * @return the record that includes the crash
      */
-    public CrashRecord afterCrash(long from, long at) {
-        int here = isHere(from, at) ? crashesHere + 1 : 1;
-        return new CrashRecord(fingerprint, epoch, crashes + 1, here, at);
+    public CrashRecord afterCrash(long resumePosition, long crashPosition) {
+        int atPosition = isSamePosition(resumePosition, crashPosition) ? crashesHere + 1 : 1;
+        return new CrashRecord(fingerprint, epoch, crashes + 1, atPosition, crashPosition);
     }
 
     /**
      * A run that resumes at the position of the previous crash is close to it from its beginning,
      * so it crashes at the same position only if it made no progress at all.
      */
-    private boolean isHere(long from, long at) {
-        if (from > 0) {
-            return at == from;
+    private boolean isSamePosition(long resumePosition, long crashPosition) {
+        if (resumePosition > 0) {
+            return crashPosition == resumePosition;
         }
-        long margin = POSITION_MARGIN + position / POSITION_MARGIN_SHARE;
-        return Math.abs(at - position) <= margin;
+        long margin = POSITION_MARGIN + position / POSITION_MARGIN_DIVISOR;
+        return Math.abs(crashPosition - position) <= margin;
     }
 
     /**
@@ -146,6 +147,6 @@
      * @return true if too many upstreams have crashed while running it
      */
     public boolean isQuarantined() {
-        return crashesHere >= QUARANTINE_AFTER || crashes >= QUARANTINE_AFTER_ANYWHERE;
+        return crashesHere >= QUARANTINE_AFTER || crashes >= QUARANTINE_AFTER_TOTAL;
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashRegistry.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashRegistry.java
@@ -29,30 +29,30 @@
     public static final int CAPACITY = 4_096;
 
     /** Retention of cleared requests, while older records of them may still be in transit. */
-    private static final Duration REMEMBER_CLEARED = Duration.ofMinutes(10);
+    private static final Duration CLEARED_RETENTION = Duration.ofMinutes(10);
 
     /** Retention of suspected requests since their last crash. */
-    private static final Duration REMEMBER_SUSPECT = Duration.ofHours(1);
+    private static final Duration SUSPECT_RETENTION = Duration.ofHours(1);
 
     private final OrderedLock mLock = new OrderedLock(LockRank.QUARANTINE);
-    private final Map<RequestFingerprint, Held> mRecords = new HashMap<>();
+    private final Map<RequestFingerprint, Entry> mRecords = new HashMap<>();
     private final MonotonicClock mClock;
 
-    private long mForgotNanos;
+    private long mExpiryCheckNanos;
 
     /** Read without the lock, so that requests incur no cost while no crash is known. */
     private volatile boolean mIsEmpty = true;
 
-    private record Held(CrashRecord record, long changedNanos) {
+    private record Entry(CrashRecord record, long changedNanos) {
         /** Eviction order: cleared, then suspected, then quarantined; the oldest first. */
-        static final Comparator<Held> GIVES_WAY =
-                Comparator.comparing((Held held) -> held.record.isQuarantined())
+        static final Comparator<Entry> EVICTION_ORDER =
+                Comparator.comparing((Entry held) -> held.record.isQuarantined())
                         .thenComparing(held -> held.record.isSuspect())
-                        .thenComparingLong(Held::changedNanos);
+                        .thenComparingLong(Entry::changedNanos);
 
-        boolean isOld(long nowNanos) {
-            Duration remember = record.isSuspect() ? REMEMBER_SUSPECT : REMEMBER_CLEARED;
-            return !record.isQuarantined() && nowNanos - changedNanos > remember.toNanos();
+        boolean isExpired(long nowNanos) {
+            Duration retention = record.isSuspect() ? SUSPECT_RETENTION : CLEARED_RETENTION;
+            return !record.isQuarantined() && nowNanos - changedNanos > retention.toNanos();
         }
     }
 
@@ -63,7 +63,7 @@
      */
     public CrashRegistry(MonotonicClock clock) {
         mClock = clock;
-        mForgotNanos = clock.nanoTime();
+        mExpiryCheckNanos = clock.nanoTime();
     }
 
     /**
@@ -83,27 +83,27 @@
      */
     public CrashRecord find(RequestFingerprint fingerprint) {
         try (OrderedLock.Held _ = mLock.hold()) {
-            forgetOldNowAndThen();
+            expirePeriodically();
             return held(fingerprint);
         }
     }
 
     /** Requests need no fingerprints once all records have expired. */
-    private void forgetOldNowAndThen() {
+    private void expirePeriodically() {
         long nowNanos = mClock.nanoTime();
-        if (nowNanos - mForgotNanos > REMEMBER_CLEARED.toNanos()) {
-            forgetOld(nowNanos);
+        if (nowNanos - mExpiryCheckNanos > CLEARED_RETENTION.toNanos()) {
+            removeExpired(nowNanos);
         }
     }
 
-    private void forgetOld(long nowNanos) {
-        mForgotNanos = nowNanos;
-        mRecords.values().removeIf(held -> held.isOld(nowNanos));
+    private void removeExpired(long nowNanos) {
+        mExpiryCheckNanos = nowNanos;
+        mRecords.values().removeIf(held -> held.isExpired(nowNanos));
         mIsEmpty = mRecords.isEmpty();
     }
 
     private CrashRecord held(RequestFingerprint fingerprint) {
-        Held held = mRecords.get(fingerprint);
+        Entry held = mRecords.get(fingerprint);
         return held == null ? CrashRecord.none(fingerprint) : held.record();
     }
 
@@ -118,12 +118,12 @@
             List<CrashRecord> changed = new ArrayList<>();
             for (CrashRecord record : records) {
                 if (record.isNewerThan(held(record.fingerprint()))) {
-                    mRecords.put(record.fingerprint(), new Held(record, mClock.nanoTime()));
+                    mRecords.put(record.fingerprint(), new Entry(record, mClock.nanoTime()));
                     changed.add(record);
                 }
             }
             if (!changed.isEmpty()) {
-                makeRoom();
+                evict();
             }
             return changed;
         }
@@ -143,10 +143,10 @@
         return merge(List.of(before.cleared())).stream().findFirst();
     }
 
-    private void makeRoom() {
-        forgetOld(mClock.nanoTime());
+    private void evict() {
+        removeExpired(mClock.nanoTime());
         while (mRecords.size() > CAPACITY) {
-            Held first = mRecords.values().stream().min(Held.GIVES_WAY).orElseThrow();
+            Entry first = mRecords.values().stream().min(Entry.EVICTION_ORDER).orElseThrow();
             mRecords.remove(first.record().fingerprint());
         }
     }
@@ -158,7 +158,7 @@
      */
     public List<CrashRecord> all() {
         try (OrderedLock.Held _ = mLock.hold()) {
-            return mRecords.values().stream().map(Held::record).toList();
+            return mRecords.values().stream().map(Entry::record).toList();
         }
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashReports.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashReports.java
@@ -32,17 +32,17 @@
      * upstream does so within some tens of milliseconds of its start, and runs that continue
      * without their caller for longer than this are rare.
      */
-    static final Duration WATCH_FOR = Duration.ofMillis(600);
+    static final Duration WATCH_DURATION = Duration.ofMillis(600);
 
     /** Maximum number of upstreams watched concurrently; each takes one connection. */
-    private static final int MOST_WATCHED = 256;
+    private static final int MAX_WATCHED = 256;
 
     private final CrashRegistry mRegistry;
     private final CrashAnnouncer mAnnouncer;
-    private final EndProbe mProbe;
-    private final EndWatch mWatch;
+    private final TerminationProbe mProbe;
+    private final TerminationWatch mWatch;
     private final SharedTurns mTurns;
-    private final UnprovenCrashes mUnproven;
+    private final UnconfirmedCrashes mUnconfirmed;
     private final RunningSuspects mRunning = new RunningSuspects();
     private final AtomicLong mCrashes = new AtomicLong();
     private final AtomicLong mRefusals = new AtomicLong();
@@ -61,8 +61,8 @@
     public CrashReports(
             CrashRegistry registry,
             CrashAnnouncer announcer,
-            EndProbe probe,
-            EndWatch watch,
+            TerminationProbe probe,
+            TerminationWatch watch,
             SharedTurns turns,
             MonotonicClock clock) {
         mRegistry = registry;
@@ -70,7 +70,7 @@
         mProbe = probe;
         mWatch = watch;
         mTurns = turns;
-        mUnproven = new UnprovenCrashes(clock);
+        mUnconfirmed = new UnconfirmedCrashes(clock);
     }
 
     /**
@@ -142,14 +142,15 @@
      * @param upstream incarnation of the upstream
      * @param peer address of the upstream
      */
-    public void mayHaveCrashed(
+    public void suspectedCrash(
             Failure failure, CrashRecord after, Incarnation upstream, Peer peer) {
         boolean hasEnded =
-                failure instanceof Failure.Broken && mProbe.probe(peer) == EndProbe.Finding.ENDED;
+                failure instanceof Failure.Broken
+                        && mProbe.probe(peer) == TerminationProbe.Finding.ENDED;
         if (hasEnded) {
             crashed(after);
         } else {
-            mUnproven.add(after, upstream, peer.host() + ":" + peer.port());
+            mUnconfirmed.add(after, upstream, peer.host() + ":" + peer.port());
         }
     }
 
@@ -165,7 +166,7 @@
      */
     public void abandoned(
             CrashRecord after, Peer peer, BooleanSupplier isPlanned, Runnable watched) {
-        if (mWatched.incrementAndGet() > MOST_WATCHED) {
+        if (mWatched.incrementAndGet() > MAX_WATCHED) {
             mWatched.decrementAndGet();
             watched.run();
             return;
@@ -175,7 +176,7 @@
 
     private void watch(CrashRecord after, Peer peer, BooleanSupplier isPlanned, Runnable watched) {
         try {
-            if (mWatch.endsWithin(peer, WATCH_FOR) && !isPlanned.getAsBoolean()) {
+            if (mWatch.awaitTermination(peer, WATCH_DURATION) && !isPlanned.getAsBoolean()) {
                 crashed(after);
             }
         } finally {
@@ -200,7 +201,7 @@
      * @param registration the registration
      */
     public void registered(Registration registration) {
-        mUnproven.takeProved(registration).forEach(this::crashed);
+        mUnconfirmed.takeConfirmed(registration).forEach(this::crashed);
     }
 
     /**
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/PacedTurns.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/PacedTurns.java
@@ -30,7 +30,7 @@
     /**
      * Timeout of each of at most two attempts. A busy owner must not be mistaken for a missing one.
      */
-    private static final Duration OWNER_WAIT = Duration.ofMillis(250);
+    private static final Duration OWNER_TIMEOUT = Duration.ofMillis(250);
 
     private final SharedQuota mQuota;
     private final Set<RequestFingerprint> mTaken = ConcurrentHashMap.newKeySet();
@@ -47,7 +47,7 @@
     @Override
     public boolean tryTake(RequestFingerprint request) {
         try {
-            QuotaAnswer answer = mQuota.take(ask(request), OWNER_WAIT);
+            QuotaAnswer answer = mQuota.take(ask(request), OWNER_TIMEOUT);
             if (answer.outcome() == QuotaAnswer.Outcome.GRANTED) {
                 mTaken.add(request);
             }
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/RunGuard.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/RunGuard.java
@@ -30,11 +30,11 @@
 
     private final CrashReports mReports;
     private final Supplier<RequestFingerprint> mMakeFingerprint;
-    private final int mTakesTurnsAfter;
+    private final int mSerializeAfter;
     private RequestFingerprint mFingerprint;
 
     /** Record that was known when the current run began; null if no crash was known. */
-    private CrashRecord mKnown;
+    private CrashRecord mKnownRecord;
 
     /** Whether this request holds the right to run among its copies. */
     private boolean mHasTurn;
@@ -44,15 +44,15 @@
      *
      * @param reports crash reports of this instance
      * @param makeFingerprint computes the fingerprint of the request
-     * @param takesTurnsAfter number of crashes from which copies of the request run one at a time
+     * @param serializeAfter number of crashes from which copies of the request run one at a time
      */
     public RunGuard(
             CrashReports reports,
             Supplier<RequestFingerprint> makeFingerprint,
-            int takesTurnsAfter) {
+            int serializeAfter) {
         mReports = reports;
         mMakeFingerprint = makeFingerprint;
-        mTakesTurnsAfter = takesTurnsAfter;
+        mSerializeAfter = serializeAfter;
     }
 
     /**
@@ -84,23 +84,23 @@
      *     it is running
      */
     public boolean mayRun() {
-        mKnown = mReports.isEmpty() ? null : mReports.find(fingerprint());
-        if (mKnown == null) {
+        mKnownRecord = mReports.isEmpty() ? null : mReports.find(fingerprint());
+        if (mKnownRecord == null) {
             return true;
         }
-        return !mKnown.isQuarantined() && takesTurn() && !mKnown.isQuarantined();
+        return !mKnownRecord.isQuarantined() && tryTakeTurn() && !mKnownRecord.isQuarantined();
     }
 
     /**
      * Reloads the record after acquiring the turn, since the previous holder may have added a
      * crash.
      */
-    private boolean takesTurn() {
-        if (mKnown.crashes() < mTakesTurnsAfter || mHasTurn) {
+    private boolean tryTakeTurn() {
+        if (mKnownRecord.crashes() < mSerializeAfter || mHasTurn) {
             return true;
         }
         mHasTurn = mReports.tryBegin(fingerprint());
-        mKnown = mReports.find(fingerprint());
+        mKnownRecord = mReports.find(fingerprint());
         return mHasTurn;
     }
 
@@ -110,21 +110,22 @@
      * @param failure how it failed; one for which {@link CrashReports#mayBeCrash} is true
      * @param upstream incarnation of the upstream that ran it
      * @param peer address of that upstream
-     * @param from last event or token that the caller had when the run began; 0 for none
-     * @param at last event or token that the caller has now
+     * @param resumePosition last event or token that the caller had when the run began; 0 for none
+     * @param position last event or token that the caller has now
      */
-    public void failed(Failure failure, Incarnation upstream, Peer peer, long from, long at) {
-        mReports.mayHaveCrashed(failure, afterCrash(from, at), upstream, peer);
+    public void failed(
+            Failure failure, Incarnation upstream, Peer peer, long resumePosition, long position) {
+        mReports.suspectedCrash(failure, afterCrash(resumePosition, position), upstream, peer);
     }
 
     /**
      * Reports that the upstream of the current run is known to have crashed.
      *
-     * @param from as in {@link #failed}
-     * @param at as in {@link #failed}
+     * @param resumePosition as in {@link #failed}
+     * @param position as in {@link #failed}
      */
-    public void crashed(long from, long at) {
-        mReports.crashed(afterCrash(from, at));
+    public void crashed(long resumePosition, long position) {
+        mReports.crashed(afterCrash(resumePosition, position));
     }
 
     /**
@@ -133,14 +134,15 @@
      *
      * @param peer address of the upstream
      * @param isPlanned returns whether the upstream has announced its departure
-     * @param from as in {@link #failed}
-     * @param at as in {@link #failed}
+     * @param resumePosition as in {@link #failed}
+     * @param position as in {@link #failed}
      */
-    public void abandoned(Peer peer, BooleanSupplier isPlanned, long from, long at) {
+    public void abandoned(
+            Peer peer, BooleanSupplier isPlanned, long resumePosition, long position) {
         boolean hadTurn = mHasTurn;
         mHasTurn = false;
         mReports.abandoned(
-                afterCrash(from, at),
+                afterCrash(resumePosition, position),
                 peer,
                 isPlanned,
                 () -> {
@@ -150,9 +152,9 @@
                 });
     }
 
-    private CrashRecord afterCrash(long from, long at) {
-        CrashRecord before = mKnown == null ? CrashRecord.none(fingerprint()) : mKnown;
-        return before.afterCrash(from, at);
+    private CrashRecord afterCrash(long resumePosition, long position) {
+        CrashRecord before = mKnownRecord == null ? CrashRecord.none(fingerprint()) : mKnownRecord;
+        return before.afterCrash(resumePosition, position);
     }
 
     /** Reports that an upstream has survived the request. */
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/EndProbe.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/TerminationProbe.java
@@ -9,7 +9,7 @@
 
 /** Determines whether an upstream whose connection broke has terminated. Thread-safe. */
 @FunctionalInterface
-public interface EndProbe {
+public interface TerminationProbe {
     /** Result of a probe. */
     enum Finding {
         /** The host answers and nothing listens on the port: the process has terminated. */
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/EndWatch.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/TerminationWatch.java
@@ -10,14 +10,14 @@
 
 /** Waits for the termination of the process of an upstream. Implementations are thread-safe. */
 @FunctionalInterface
-public interface EndWatch {
+public interface TerminationWatch {
     /**
      * Blocks until the process has terminated or the timeout has expired.
      *
      * @param peer address of the upstream
-     * @param longest timeout
+     * @param timeout how long to wait at most
      * @return true if the process has terminated; false if the timeout expired or the upstream
      *     cannot be watched
      */
-    boolean endsWithin(Peer peer, Duration longest);
+    boolean awaitTermination(Peer peer, Duration timeout);
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/UnprovenCrashes.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/UnconfirmedCrashes.java
@@ -19,27 +19,27 @@
  * Suspected crashes, which are counted if another upstream turns out to have replaced the one that
  * may have crashed.
  *
- * <p>Invariants: each is confirmed at most once, and within {@link #PROOF_WITHIN}; one whose
- * upstream announces a planned departure is dropped. Thread-safe.
+ * <p>Invariants: each is confirmed at most once, and within {@link #CONFIRMATION_TIMEOUT}; one
+ * whose upstream announces a planned departure is dropped. Thread-safe.
  */
-final class UnprovenCrashes {
+final class UnconfirmedCrashes {
     /** Time by which a restarted upstream has registered: several heartbeats. */
-    private static final Duration PROOF_WITHIN = Duration.ofSeconds(10);
+    private static final Duration CONFIRMATION_TIMEOUT = Duration.ofSeconds(10);
 
     /** Maximum number of suspected crashes; the oldest are evicted. */
     private static final int CAPACITY = 1_024;
 
     private final OrderedLock mLock = new OrderedLock(LockRank.CRASHES);
     private final MonotonicClock mClock;
-    private final List<Unproven> mUnproven = new ArrayList<>();
+    private final List<Unconfirmed> mUnconfirmed = new ArrayList<>();
 
-    private record Unproven(
+    private record Unconfirmed(
             CrashRecord after, Incarnation upstream, String address, long sinceNanos) {
-        boolean isOld(long nowNanos) {
-            return nowNanos - sinceNanos > PROOF_WITHIN.toNanos();
+        boolean isExpired(long nowNanos) {
+            return nowNanos - sinceNanos > CONFIRMATION_TIMEOUT.toNanos();
         }
 
-        boolean isProvedBy(Registration registration) {
+        boolean isConfirmedBy(Registration registration) {
             Incarnation other = registration.incarnation();
             if (other.id().equals(upstream.id())) {
                 return other.provesEndOf(upstream);
@@ -48,13 +48,13 @@
                     && registration.address().equals(address);
         }
 
-        boolean isEndedByPlan(Registration registration) {
+        boolean isPlannedDeparture(Registration registration) {
             return registration.state() != Registration.State.READY
                     && registration.incarnation().equals(upstream);
         }
     }
 
-    UnprovenCrashes(MonotonicClock clock) {
+    UnconfirmedCrashes(MonotonicClock clock) {
         mClock = clock;
     }
 
@@ -68,11 +68,11 @@
     void add(CrashRecord after, Incarnation upstream, String address) {
         long nowNanos = mClock.nanoTime();
         try (OrderedLock.Held _ = mLock.hold()) {
-            mUnproven.removeIf(old -> old.isOld(nowNanos));
-            if (mUnproven.size() >= CAPACITY) {
-                mUnproven.removeFirst();
+            mUnconfirmed.removeIf(old -> old.isExpired(nowNanos));
+            if (mUnconfirmed.size() >= CAPACITY) {
+                mUnconfirmed.removeFirst();
             }
-            mUnproven.add(new Unproven(after, upstream, address, nowNanos));
+            mUnconfirmed.add(new Unconfirmed(after, upstream, address, nowNanos));
         }
     }
 
@@ -82,20 +82,21 @@
      * @param registration the registration
      * @return records of the crashes that it confirms
      */
-    List<CrashRecord> takeProved(Registration registration) {
+    List<CrashRecord> takeConfirmed(Registration registration) {
         long nowNanos = mClock.nanoTime();
-        List<CrashRecord> proved = new ArrayList<>();
+        List<CrashRecord> confirmed = new ArrayList<>();
         try (OrderedLock.Held _ = mLock.hold()) {
-            mUnproven.removeIf(old -> old.isOld(nowNanos) || old.isEndedByPlan(registration));
-            Iterator<Unproven> each = mUnproven.iterator();
+            mUnconfirmed.removeIf(
+                    old -> old.isExpired(nowNanos) || old.isPlannedDeparture(registration));
+            Iterator<Unconfirmed> each = mUnconfirmed.iterator();
             while (each.hasNext()) {
-                Unproven next = each.next();
-                if (next.isProvedBy(registration)) {
+                Unconfirmed next = each.next();
+                if (next.isConfirmedBy(registration)) {
                     each.remove();
-                    proved.add(next.after());
+                    confirmed.add(next.after());
                 }
             }
         }
-        return proved;
+        return confirmed;
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/package-info.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/package-info.java
@@ -9,8 +9,8 @@
  *
  * <p>{@code CrashRecord} defines the rule. {@code CrashRegistry} holds the records of one instance,
  * which the instances exchange and merge. {@code CrashReports} is the entry point for both request
- * paths, with a {@code RunGuard} per request. {@code EndProbe} determines whether an upstream has
- * terminated, and {@code UnprovenCrashes} waits for a confirmation where the probe cannot tell.
- * This package does not depend on cluster messages or files. Callers pass the time in.
+ * paths, with a {@code RunGuard} per request. {@code TerminationProbe} determines whether an
+ * upstream has terminated, and {@code UnconfirmedCrashes} waits for a confirmation where the probe
+ * cannot tell. This package does not depend on cluster messages or files. Callers pass the time in.
  */
 package org.orchidmount.quarantine;
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/LeaseHistory.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/LeaseHistory.java
@@ -19,13 +19,13 @@
     private long mLease;
 
     /** Monotonic time at which the current lease was first seen. */
-    private long mBeganNanos;
+    private long mCurrentLeaseNanos;
 
     /**
      * Monotonic time at which the previous lease was first seen, or the latest time at which it can
      * have begun.
      */
-    private long mFormerNanos;
+    private long mPreviousLeaseNanos;
 
     /**
      * Creates a history that begins with the newest known lease.
@@ -37,8 +37,8 @@
      */
     public LeaseHistory(long lease, boolean isFirstStart, long nowNanos) {
         mLease = lease;
-        mBeganNanos = isFirstStart ? nowNanos - LONG_AGO_NANOS : nowNanos;
-        mFormerNanos = mBeganNanos;
+        mCurrentLeaseNanos = isFirstStart ? nowNanos - LONG_AGO_NANOS : nowNanos;
+        mPreviousLeaseNanos = mCurrentLeaseNanos;
     }
 
     /**
@@ -52,8 +52,8 @@
             return;
         }
         boolean hasMissedNone = lease == mLease + 1;
-        mFormerNanos = hasMissedNone ? mBeganNanos : nowNanos;
-        mBeganNanos = nowNanos;
+        mPreviousLeaseNanos = hasMissedNone ? mCurrentLeaseNanos : nowNanos;
+        mCurrentLeaseNanos = nowNanos;
         mLease = lease;
     }
 
@@ -63,6 +63,6 @@
      * @return monotonic time, in the distant past if the site started for the first time
      */
     public long formerNanos() {
-        return mFormerNanos;
+        return mPreviousLeaseNanos;
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaOwner.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaOwner.java
@@ -28,18 +28,18 @@
  */
 public final class QuotaOwner {
     /** Upper bound of the retry time; callers rarely wait longer. */
-    private static final double MOST_WAIT_SECONDS = 8;
+    private static final double MAX_RETRY_SECONDS = 8;
 
     /** Number of requests between two removals of buckets that are equal to new ones. */
-    private static final int SWEEP_ASKS = 4_096;
+    private static final int SWEEP_INTERVAL_REQUESTS = 4_096;
 
     private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
     private final Map<String, Bucket> mBuckets = new HashMap<>();
     private long mLease;
     private long mLeaseNanos;
-    private long mFormerNanos;
-    private int mAsks;
+    private long mPreviousLeaseNanos;
+    private int mRequests;
 
     /** Token bucket of one key. */
     private static final class Bucket {
@@ -52,7 +52,7 @@
         /** Recently refused units, less those that the rate has refilled since. */
         private double mRefusedUnits;
 
-        private long mAtNanos;
+        private long mUpdatedNanos;
 
         /** Units granted since the last call of {@link #takeUses}. */
         private long mGrantedUnits;
@@ -60,22 +60,22 @@
         private int mGranted;
 
         /** Requests granted since the bucket was created. */
-        private long mGrantedInAll;
+        private long mTotalGranted;
 
         private int mRefused;
 
         private void advance(long nowNanos) {
-            double filled = mLimit.ratePerSecond() * (nowNanos - mAtNanos) / NANOS_PER_SECOND;
+            double filled = mLimit.ratePerSecond() * (nowNanos - mUpdatedNanos) / NANOS_PER_SECOND;
             mUnits = Math.min(mLimit.burst(), mUnits + filled);
             mRefusedUnits = Math.max(0, mRefusedUnits - filled);
-            mAtNanos = nowNanos;
+            mUpdatedNanos = nowNanos;
         }
 
         private void grant(long units) {
             mUnits -= units;
             mGrantedUnits += units;
             mGranted++;
-            mGrantedInAll++;
+            mTotalGranted++;
         }
 
         private QuotaUse takeUse(String key) {
@@ -92,7 +92,7 @@
             mRefusedUnits += units;
             double seconds = (mRefusedUnits - mUnits) / mLimit.ratePerSecond();
             return Duration.ofNanos(
-                    (long) (Math.min(MOST_WAIT_SECONDS, seconds) * NANOS_PER_SECOND));
+                    (long) (Math.min(MAX_RETRY_SECONDS, seconds) * NANOS_PER_SECOND));
         }
     }
 
@@ -101,16 +101,16 @@
      * buckets.
      *
      * @param lease number of the lease, which increases with each holder
-     * @param formerNanos monotonic time since when at most one other lease has existed, as far as
-     *     this instance knows
+     * @param previousLeaseNanos monotonic time since when at most one other lease has existed, as
+     *     far as this instance knows
      * @param nowNanos monotonic time
      */
-    public void hold(long lease, long formerNanos, long nowNanos) {
+    public void hold(long lease, long previousLeaseNanos, long nowNanos) {
         if (lease != mLease) {
             mBuckets.clear();
             mLease = lease;
             mLeaseNanos = nowNanos;
-            mFormerNanos = formerNanos;
+            mPreviousLeaseNanos = previousLeaseNanos;
         }
     }
 
@@ -124,7 +124,7 @@
     public QuotaAnswer ask(QuotaAsk ask, long nowNanos) {
         sweep(nowNanos);
         Bucket bucket = mBuckets.computeIfAbsent(ask.key(), key -> newBucket(ask));
-        adopt(bucket, ask);
+        applyNewerLimit(bucket, ask);
         bucket.advance(nowNanos);
         QuotaLimit limit = bucket.mLimit;
         if (ask.units() > limit.burst() + limit.tolerance()) {
@@ -160,7 +160,7 @@
      */
     public long granted(String key) {
         Bucket bucket = mBuckets.get(key);
-        return bucket == null ? 0 : bucket.mGrantedInAll;
+        return bucket == null ? 0 : bucket.mTotalGranted;
     }
 
     /**
@@ -186,19 +186,19 @@
         Bucket bucket = new Bucket();
         bucket.mLimit = ask.limit();
         bucket.mVersion = ask.version();
-        bucket.mUnits = Math.min(ask.limit().burst(), startShare(ask) * ask.limit().tolerance());
-        bucket.mAtNanos = mLeaseNanos;
+        bucket.mUnits = Math.min(ask.limit().burst(), initialShare(ask) * ask.limit().tolerance());
+        bucket.mUpdatedNanos = mLeaseNanos;
         return bucket;
     }
 
     /** Returns the larger share only for the first change of the lease within a window. */
-    private double startShare(QuotaAsk ask) {
-        boolean isFirst = mLeaseNanos - mFormerNanos >= ask.limit().window().toNanos();
-        return isFirst ? QuotaTolerance.FIRST_START_SHARE : QuotaTolerance.NEXT_START_SHARE;
+    private double initialShare(QuotaAsk ask) {
+        boolean isFirst = mLeaseNanos - mPreviousLeaseNanos >= ask.limit().window().toNanos();
+        return isFirst ? QuotaTolerance.FIRST_LEASE_SHARE : QuotaTolerance.LATER_LEASE_SHARE;
     }
 
     /** Applies the limit of the newest table, also to instances that do not have that table yet. */
-    private static void adopt(Bucket bucket, QuotaAsk ask) {
+    private static void applyNewerLimit(Bucket bucket, QuotaAsk ask) {
         if (ask.version() > bucket.mVersion) {
             bucket.mVersion = ask.version();
             bucket.mLimit = ask.limit();
@@ -207,7 +207,7 @@
 
     /** Removes the buckets that are equal to newly created ones. */
     private void sweep(long nowNanos) {
-        if (++mAsks % SWEEP_ASKS != 0) {
+        if (++mRequests % SWEEP_INTERVAL_REQUESTS != 0) {
             return;
         }
         Iterator<Bucket> buckets = mBuckets.values().iterator();
@@ -215,13 +215,13 @@
             Bucket bucket = buckets.next();
             bucket.advance(nowNanos);
             boolean isFull = bucket.mUnits >= bucket.mLimit.burst();
-            if (isFull && bucket.mRefusedUnits == 0 && isOld(bucket, nowNanos)) {
+            if (isFull && bucket.mRefusedUnits == 0 && wouldNewBucketBeFull(bucket, nowNanos)) {
                 buckets.remove();
             }
         }
     }
 
-    private boolean isOld(Bucket bucket, long nowNanos) {
+    private boolean wouldNewBucketBeFull(Bucket bucket, long nowNanos) {
         double leaseSeconds = (nowNanos - mLeaseNanos) / NANOS_PER_SECOND;
         return leaseSeconds * bucket.mLimit.ratePerSecond() > bucket.mLimit.burst();
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaReserve.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaReserve.java
@@ -26,17 +26,17 @@
 
     /** Units granted for one key within a window. */
     private static final class Grants {
-        private final Deque<Grant> mNewestLast = new ArrayDeque<>();
+        private final Deque<Grant> mOldestFirst = new ArrayDeque<>();
         private long mSum;
 
-        private void forgetBefore(long nanos) {
-            while (!mNewestLast.isEmpty() && mNewestLast.getFirst().atNanos() - nanos < 0) {
-                mSum -= mNewestLast.removeFirst().units();
+        private void removeBefore(long nanos) {
+            while (!mOldestFirst.isEmpty() && mOldestFirst.getFirst().atNanos() - nanos < 0) {
+                mSum -= mOldestFirst.removeFirst().units();
             }
         }
 
         private void add(Grant grant) {
-            mNewestLast.addLast(grant);
+            mOldestFirst.addLast(grant);
             mSum += grant.units();
         }
     }
@@ -69,9 +69,9 @@
             return QuotaAnswer.NO_OWNER;
         }
         Grants grants = grants(ask, nowNanos);
-        grants.forgetBefore(nowNanos - windowNanos);
-        double most = QuotaTolerance.RESERVE_SHARE * ask.limit().tolerance() / voters;
-        if (grants.mSum + ask.units() > most) {
+        grants.removeBefore(nowNanos - windowNanos);
+        double maxUnits = QuotaTolerance.RESERVE_SHARE * ask.limit().tolerance() / voters;
+        if (grants.mSum + ask.units() > maxUnits) {
             return QuotaAnswer.NO_OWNER;
         }
         grants.add(new Grant(ask.units(), nowNanos));
@@ -83,8 +83,8 @@
         Grants grants = mGrants.get(ask.key());
         if (grants == null) {
             long oldestNanos = nowNanos - ask.limit().window().toNanos();
-            mGrants.values().forEach(other -> other.forgetBefore(oldestNanos));
-            mGrants.values().removeIf(other -> other.mNewestLast.isEmpty());
+            mGrants.values().forEach(other -> other.removeBefore(oldestNanos));
+            mGrants.values().removeIf(other -> other.mOldestFirst.isEmpty());
             grants = new Grants();
             mGrants.put(ask.key(), grants);
         }
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaTolerance.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaTolerance.java
@@ -26,13 +26,13 @@
      * every request needs this share for nothing else, so refusing requests within it would gain
      * nothing.
      */
-    static final double USED_SHARE = 0.25;
+    static final double CONSTANT_SHARE = 0.25;
 
     /** Share that a bucket holds after the first change of the lease in a window. */
-    static final double FIRST_START_SHARE = 0.3;
+    static final double FIRST_LEASE_SHARE = 0.3;
 
     /** Share that a bucket holds after each further change; the division leaves room for two. */
-    static final double NEXT_START_SHARE = 0.05;
+    static final double LATER_LEASE_SHARE = 0.05;
 
     /** Share that all voters without the lease together may grant. */
     static final double RESERVE_SHARE = 0.2;
@@ -52,7 +52,7 @@
     public QuotaLimit limit(double ratePerSecond, double burst) {
         double windowSeconds = window.toNanos() / NANOS_PER_SECOND;
         double tolerance = share * (ratePerSecond * windowSeconds + burst) + slack;
-        double usedPerSecond = USED_SHARE * tolerance / windowSeconds;
-        return new QuotaLimit(ratePerSecond + usedPerSecond, burst, tolerance, window);
+        double extraPerSecond = CONSTANT_SHARE * tolerance / windowSeconds;
+        return new QuotaLimit(ratePerSecond + extraPerSecond, burst, tolerance, window);
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/SharedQuota.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/SharedQuota.java
@@ -32,26 +32,26 @@
      * the lease may grant it.
      *
      * @param ask the request
-     * @param longest timeout of each of the two attempts
+     * @param timeout time to wait in each of the two attempts
      * @return granted; or not, with the time to retry after
      * @throws InterruptedException if the thread is interrupted
      */
-    public QuotaAnswer take(QuotaAsk ask, Duration longest) throws InterruptedException {
-        QuotaAnswer answer = await(mOwner.askOwner(ask), longest);
+    public QuotaAnswer take(QuotaAsk ask, Duration timeout) throws InterruptedException {
+        QuotaAnswer answer = await(mOwner.askOwner(ask), timeout);
         if (answer.outcome() != QuotaAnswer.Outcome.NO_OWNER) {
             return answer;
         }
-        QuotaAnswer second = await(mOwner.askOwner(ask), longest);
+        QuotaAnswer second = await(mOwner.askOwner(ask), timeout);
         LOG.debug(
                 "%s: quota owner did not answer; result of the second attempt: %s",
                 ask.key(), second.outcome());
         return second;
     }
 
-    private static QuotaAnswer await(CompletableFuture<QuotaAnswer> answer, Duration longest)
+    private static QuotaAnswer await(CompletableFuture<QuotaAnswer> answer, Duration timeout)
             throws InterruptedException {
         try {
-            return answer.get(longest.toNanos(), TimeUnit.NANOSECONDS);
+            return answer.get(timeout.toNanos(), TimeUnit.NANOSECONDS);
         } catch (TimeoutException e) {
             // An answer that arrived meanwhile counts; the units of a later one are returned.
             answer.complete(QuotaAnswer.NO_OWNER);
