--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamPace.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamPace.java
@@ -177,8 +177,8 @@
             return refused();
         }
         QuotaAsk ask = ask(limit.get());
-        Duration longest = Duration.ofNanos((long) (OWNER_TIMEOUT_SHARE * target.toNanos()));
-        QuotaAnswer answer = mQuota.take(ask, longest);
+        Duration ownerTimeout = Duration.ofNanos((long) (OWNER_TIMEOUT_SHARE * target.toNanos()));
+        QuotaAnswer answer = mQuota.take(ask, ownerTimeout);
         if (answer.isGranted()) {
             mCounted.incrementAndGet();
             return SendPermit.counted(ask);
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashReports.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashReports.java
@@ -162,26 +162,27 @@
      * @param peer address of the upstream
      * @param isPlanned returns whether the upstream had announced its departure; called when it has
      *     terminated
-     * @param watched called once when the watch is over, whatever its result
+     * @param onWatchEnd called once when the watch is over, whatever its result
      */
     public void abandoned(
-            CrashRecord after, Peer peer, BooleanSupplier isPlanned, Runnable watched) {
+            CrashRecord after, Peer peer, BooleanSupplier isPlanned, Runnable onWatchEnd) {
         if (mWatched.incrementAndGet() > MAX_WATCHED) {
             mWatched.decrementAndGet();
-            watched.run();
+            onWatchEnd.run();
             return;
         }
-        Thread.ofVirtual().name("end-watch").start(() -> watch(after, peer, isPlanned, watched));
+        Thread.ofVirtual().name("end-watch").start(() -> watch(after, peer, isPlanned, onWatchEnd));
     }
 
-    private void watch(CrashRecord after, Peer peer, BooleanSupplier isPlanned, Runnable watched) {
+    private void watch(
+            CrashRecord after, Peer peer, BooleanSupplier isPlanned, Runnable onWatchEnd) {
         try {
             if (mWatch.awaitTermination(peer, WATCH_DURATION) && !isPlanned.getAsBoolean()) {
                 crashed(after);
             }
         } finally {
             mWatched.decrementAndGet();
-            watched.run();
+            onWatchEnd.run();
         }
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/SharedQuota.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/SharedQuota.java
@@ -41,11 +41,11 @@
         if (answer.outcome() != QuotaAnswer.Outcome.NO_OWNER) {
             return answer;
         }
-        QuotaAnswer second = await(mOwner.askOwner(ask), timeout);
+        QuotaAnswer retried = await(mOwner.askOwner(ask), timeout);
         LOG.debug(
                 "%s: quota owner did not answer; result of the second attempt: %s",
-                ask.key(), second.outcome());
-        return second;
+                ask.key(), retried.outcome());
+        return retried;
     }
 
     private static QuotaAnswer await(CompletableFuture<QuotaAnswer> answer, Duration timeout)
