--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/LonePace.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/LocalRateLimiter.java
@@ -18,19 +18,19 @@
 import org.orchidmount.membership.Incarnation;
 
 /**
- * What this instance sends to upstreams while nobody counts for all: an equal part of half of what
- * each takes.
+ * Local rate limiter for upstreams, used while no owner counts for all instances: each instance
+ * sends an equal share of half of the limit.
  *
- * <p>The part is often less than one request in the time that this lasts, so its first request
- * waits a random part of the pause between two: so the sum over all instances is no more than that
- * half, whichever of them have requests. Thread-safe.
+ * <p>The share is often less than one request for as long as this state lasts, so the first request
+ * waits for a random part of the interval between two requests. The sum over all instances
+ * therefore does not exceed that half, whichever of them have requests. Thread-safe.
  */
-final class LonePace {
+final class LocalRateLimiter {
     /**
-     * The part of what an upstream takes that all instances together send it alone: those that
-     * cannot reach the owner go on beside those that can, and half more is borne.
+     * Share of a limit that all instances without an owner send together. They send in addition to
+     * the instances that can reach the owner, and upstreams tolerate half more than their limit.
      */
-    private static final double LONE_SHARE = 0.5;
+    private static final double LOCAL_SHARE = 0.5;
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
@@ -39,38 +39,39 @@
     private final RandomGenerator mRandom;
     private final MonotonicClock mClock;
 
-    /** When the next request may be sent; one that is long past is of an earlier time. */
+    /** Monotonic time of the next permitted request; a time long past is stale. */
     private final Map<Incarnation, Long> mNextNanos = new HashMap<>();
 
-    LonePace(IntSupplier instances, RandomGenerator random, MonotonicClock clock) {
+    LocalRateLimiter(IntSupplier instances, RandomGenerator random, MonotonicClock clock) {
         mInstances = instances;
         mRandom = random;
         mClock = clock;
     }
 
     /**
-     * Takes the right to send one request.
+     * Acquires the permission to send one request.
      *
-     * @param upstream the upstream
-     * @param perSecond what it takes from all instances, above 0
-     * @return how long to wait before asking again; zero if one may be sent now
+     * @param upstream incarnation of the upstream
+     * @param perSecond rate that it accepts from all instances, above 0
+     * @return time to wait before the next attempt; zero if the request may be sent now
      */
     Duration take(Incarnation upstream, double perSecond) {
         long nowNanos = mClock.nanoTime();
-        double rate = LONE_SHARE * perSecond;
-        long pauseNanos = (long) Millis.toNanos(MILLIS_PER_SECOND * mInstances.getAsInt() / rate);
+        double rate = LOCAL_SHARE * perSecond;
+        long intervalNanos =
+                (long) Millis.toNanos(MILLIS_PER_SECOND * mInstances.getAsInt() / rate);
         try (OrderedLock.Held _ = mLock.hold()) {
             Long known = mNextNanos.get(upstream);
-            boolean isCurrent = known != null && nowNanos - known <= pauseNanos;
+            boolean isCurrent = known != null && nowNanos - known <= intervalNanos;
             long nextNanos =
-                    isCurrent ? known : nowNanos + (long) (mRandom.nextDouble() * pauseNanos);
+                    isCurrent ? known : nowNanos + (long) (mRandom.nextDouble() * intervalNanos);
             boolean mayBeSent = nowNanos - nextNanos >= 0;
-            mNextNanos.put(upstream, mayBeSent ? nextNanos + pauseNanos : nextNanos);
+            mNextNanos.put(upstream, mayBeSent ? nextNanos + intervalNanos : nextNanos);
             return mayBeSent ? Duration.ZERO : Duration.ofNanos(nextNanos - nowNanos);
         }
     }
 
-    /** Forgets upstreams that have ended. */
+    /** Removes upstreams that have ended. */
     void forget(Predicate<Incarnation> hasEnded) {
         try (OrderedLock.Held _ = mLock.hold()) {
             mNextNanos.keySet().removeIf(hasEnded);
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamLimits.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamLimits.java
@@ -24,51 +24,54 @@
 import org.orchidmount.membership.Registration;
 
 /**
- * The limits of upstreams that one instance knows.
+ * Rate limits of upstreams that one instance knows.
  *
- * <p>Invariants: a response changes what is known only if its request was sent after that was
- * learned, so that one which comes late behind a newer one changes nothing; records of other
- * instances merge to the same in any order; a limit in force is forgotten only with its upstream,
- * or when there are more than {@link #CAPACITY} records and none of a limit that has ended.
+ * <p>Invariants: a response changes a limit only if its request was sent after that limit was
+ * learned, so that a late response changes nothing after a newer one; records from other instances
+ * merge to the same result in any order; a limit in force is removed only with its upstream, or
+ * when there are more than {@link #CAPACITY} records and none of a revoked limit is left.
  * Thread-safe.
  */
 public final class UpstreamLimits {
-    /** Records held at most: twice the upstreams of the target, some 100 bytes each. */
+    /** Maximum number of records: twice the target number of upstreams, about 100 bytes each. */
     public static final int CAPACITY = 16_384;
 
-    /** A limit that has ended is remembered while older records may still be on their way. */
-    private static final Duration REMEMBER_ENDED = Duration.ofMinutes(10);
+    /** Retention of revoked limits, while older records may still be in transit. */
+    private static final Duration REVOKED_RETENTION = Duration.ofMinutes(10);
 
-    /** Smaller changes are not told to all instances; what upstreams bear is wider. */
-    private static final double LEAST_CHANGE_SHARE = 0.1;
+    /**
+     * Relative change below which a limit is not announced to all instances; the tolerance of
+     * upstreams is wider.
+     */
+    private static final double MIN_CHANGE_SHARE = 0.1;
 
     private static final PartLog LOG = PartLog.of("pacing");
 
     private final OrderedLock mLock = new OrderedLock(LockRank.UPSTREAM_LIMITS);
-    private final Map<Incarnation, Held> mHeld = new HashMap<>();
+    private final Map<Incarnation, Entry> mEntries = new HashMap<>();
     private final String mInstance;
     private final MonotonicClock mClock;
 
-    /** Read without the lock, so that responses cost nothing while no limit is known. */
+    /** Read without the lock, so that responses incur no cost while no limit is known. */
     private volatile boolean mIsEmpty = true;
 
-    private record Held(UpstreamLimit limit, long learnedNanos) {
-        /** Orders what gives way first: what has ended, then the oldest. */
-        static final Comparator<Held> GIVES_WAY =
-                Comparator.comparing((Held held) -> held.limit.isInForce())
-                        .thenComparingLong(Held::learnedNanos);
+    private record Entry(UpstreamLimit limit, long learnedNanos) {
+        /** Eviction order: revoked limits first, then the oldest. */
+        static final Comparator<Entry> EVICTION_ORDER =
+                Comparator.comparing((Entry held) -> held.limit.isInForce())
+                        .thenComparingLong(Entry::learnedNanos);
 
-        boolean isOld(long nowNanos) {
-            boolean isLongAgo = nowNanos - learnedNanos > REMEMBER_ENDED.toNanos();
+        boolean isExpired(long nowNanos) {
+            boolean isLongAgo = nowNanos - learnedNanos > REVOKED_RETENTION.toNanos();
             return isLongAgo && !limit.isInForce();
         }
     }
 
     /**
-     * Creates it without any limits.
+     * Creates an empty set of limits.
      *
-     * @param instance the name of this instance
-     * @param clock orders what is learned and what is sent
+     * @param instance name of this instance
+     * @param clock orders the receipt of limits and the sending of requests
      */
     public UpstreamLimits(String instance, MonotonicClock clock) {
         mInstance = instance;
@@ -76,12 +79,12 @@
     }
 
     /**
-     * Learns from a response of an upstream.
+     * Updates the limit from a response of an upstream.
      *
-     * @param upstream the incarnation that responded
-     * @param stated the limit that the response states; nothing if it states none
-     * @param sentNanos when its request was sent, by the clock
-     * @return the new record, if this changes what is known
+     * @param upstream incarnation that responded
+     * @param stated limit in requests per second that the response states; empty if it states none
+     * @param sentNanos monotonic time at which the request was sent
+     * @return the new record if it changes the limit, else empty
      */
     public Optional<UpstreamLimit> observe(
             Incarnation upstream, OptionalDouble stated, long sentNanos) {
@@ -89,19 +92,19 @@
             return Optional.empty();
         }
         try (OrderedLock.Held _ = mLock.hold()) {
-            Held held = mHeld.get(upstream);
-            boolean isNews =
+            Entry held = mEntries.get(upstream);
+            boolean isChange =
                     held == null
                             ? stated.isPresent()
                             : sentNanos - held.learnedNanos() >= 0 && differs(held.limit(), stated);
-            if (!isNews) {
+            if (!isChange) {
                 return Optional.empty();
             }
             long version = held == null ? 1 : held.limit().version() + 1;
             UpstreamLimit limit = new UpstreamLimit(upstream, stated, version, mInstance);
             hold(limit);
             LOG.info(
-                    "upstream %s, by the answer to a request sent %.0f ms ago",
+                    "upstream %s, according to the response to a request sent %.0f ms ago",
                     limit, Millis.ofNanos(mClock.nanoTime() - sentNanos));
             return Optional.of(limit);
         }
@@ -113,23 +116,23 @@
         }
         double before = known.perSecond().getAsDouble();
         double change = Math.abs(stated.getAsDouble() - before);
-        return change > LEAST_CHANGE_SHARE * before;
+        return change > MIN_CHANGE_SHARE * before;
     }
 
     /**
      * Merges records that were received.
      *
      * @param records the records
-     * @return those that were new
+     * @return the records that replaced older ones
      */
     public List<UpstreamLimit> merge(Collection<UpstreamLimit> records) {
         try (OrderedLock.Held _ = mLock.hold()) {
             List<UpstreamLimit> changed = new ArrayList<>();
             for (UpstreamLimit record : records) {
-                Held held = mHeld.get(record.upstream());
+                Entry held = mEntries.get(record.upstream());
                 if (held == null || record.isNewerThan(held.limit())) {
                     hold(record);
-                    LOG.info("upstream %s, as another instance says", record);
+                    LOG.info("upstream %s, according to another instance", record);
                     changed.add(record);
                 }
             }
@@ -139,58 +142,58 @@
 
     private void hold(UpstreamLimit limit) {
         long nowNanos = mClock.nanoTime();
-        mHeld.put(limit.upstream(), new Held(limit, nowNanos));
-        mHeld.values().removeIf(held -> held.isOld(nowNanos));
-        while (mHeld.size() > CAPACITY) {
-            Held first = mHeld.values().stream().min(Held.GIVES_WAY).orElseThrow();
-            mHeld.remove(first.limit().upstream());
+        mEntries.put(limit.upstream(), new Entry(limit, nowNanos));
+        mEntries.values().removeIf(held -> held.isExpired(nowNanos));
+        while (mEntries.size() > CAPACITY) {
+            Entry first = mEntries.values().stream().min(Entry.EVICTION_ORDER).orElseThrow();
+            mEntries.remove(first.limit().upstream());
         }
-        mIsEmpty = mHeld.isEmpty();
+        mIsEmpty = mEntries.isEmpty();
     }
 
     /**
-     * Tells whether no limit was ever heard of, or all are forgotten.
+     * Returns whether no limit is known, either because none was received or all were removed.
      *
-     * @return true if it holds no records
+     * @return true if no records are held
      */
     public boolean isEmpty() {
         return mIsEmpty;
     }
 
     /**
-     * Finds the limit of an upstream.
+     * Returns the limit of an upstream.
      *
-     * @param upstream the incarnation
-     * @return its limit, if it states one
+     * @param upstream incarnation of the upstream
+     * @return its limit, or empty if it states none
      */
     public Optional<UpstreamLimit> find(Incarnation upstream) {
         if (mIsEmpty) {
             return Optional.empty();
         }
         try (OrderedLock.Held _ = mLock.hold()) {
-            return Optional.ofNullable(mHeld.get(upstream))
-                    .map(Held::limit)
+            return Optional.ofNullable(mEntries.get(upstream))
+                    .map(Entry::limit)
                     .filter(UpstreamLimit::isInForce);
         }
     }
 
     /**
-     * Returns all records, those of limits that have ended too.
+     * Returns all records, including those of revoked limits.
      *
      * @return a copy
      */
     public List<UpstreamLimit> all() {
         try (OrderedLock.Held _ = mLock.hold()) {
-            return mHeld.values().stream().map(Held::limit).toList();
+            return mEntries.values().stream().map(Entry::limit).toList();
         }
     }
 
     /**
-     * Tells whether a registration says that an incarnation of an upstream has ended.
+     * Returns whether a registration shows that an incarnation of an upstream has ended.
      *
-     * @param upstream the incarnation
+     * @param upstream incarnation of the upstream
      * @param registration the registration
-     * @return true if it has left, or another start has taken its place
+     * @return true if the upstream has left, or a newer incarnation has replaced this one
      */
     public static boolean isEnded(Incarnation upstream, Registration registration) {
         if (!upstream.id().equals(registration.id())) {
@@ -201,17 +204,17 @@
     }
 
     /**
-     * Forgets upstreams.
+     * Removes the limits of upstreams that have ended.
      *
-     * @param hasEnded tells which
+     * @param hasEnded selects the incarnations to remove
      */
     public void forget(Predicate<Incarnation> hasEnded) {
         if (mIsEmpty) {
             return;
         }
         try (OrderedLock.Held _ = mLock.hold()) {
-            mHeld.keySet().removeIf(hasEnded);
-            mIsEmpty = mHeld.isEmpty();
+            mEntries.keySet().removeIf(hasEnded);
+            mIsEmpty = mEntries.isEmpty();
         }
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamPace.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamPace.java
@@ -27,39 +27,43 @@
 import org.orchidmount.quota.SharedQuota;
 
 /**
- * Keeps the requests of one instance to what upstreams state: to limits, which hold for all
- * instances together, and to pauses, of which each holds for the instance that was asked for it.
+ * Rate control of the requests that one instance sends to upstreams. It enforces the limits that
+ * upstreams state, which apply to all instances together, and the pauses that they request, each of
+ * which applies to the instance that received it.
  *
- * <p>One owner counts for all ({@link SharedQuota}); while there is none, each instance keeps to an
- * equal part ({@link LonePace}). What is counted is a request that is about to be sent: first and
- * further attempts, prefills, and a reservation together with the run that it is for. Releases,
- * reports and orders are not: they take no work.
+ * <p>One owner counts for all instances ({@link SharedQuota}); while there is none, each instance
+ * keeps to an equal share ({@link LocalRateLimiter}). Each request is counted just before it is
+ * sent: first and further attempts, prefills, and a reservation together with the run for which it
+ * is made. Releases, reports and orders are not counted, since they cause no work.
  *
- * <p>Invariants: nothing is asked for an upstream that states no limit; one that has no room is not
- * asked for again here before the time that the owner named; nothing is sent to one during its
- * pause, whatever its limit. Thread-safe.
+ * <p>Invariants: the owner is not asked about an upstream that states no limit; for one without
+ * capacity it is not asked again by this instance before the time that it named; nothing is sent to
+ * an upstream during its pause, whatever its limit. Thread-safe.
  */
 public final class UpstreamPace {
     /**
-     * An upstream that takes nothing gets a request every five seconds all the same: only an answer
-     * can tell that it takes some again.
+     * Minimum rate. An upstream whose limit is zero still gets one request every five seconds,
+     * since only a response can show that it accepts requests again.
      */
-    private static final double LEAST_PER_SECOND = 0.2;
+    private static final double MIN_PER_SECOND = 0.2;
 
-    /** What may come at once beyond the rate: a part of a second, and one request. */
+    /** Burst beyond the rate: the requests of this part of a second, plus one request. */
     private static final double BURST_SECONDS = 0.25;
 
-    /** The span over which an upstream counts what it got. */
+    /** Period over which an upstream counts the requests that it received. */
     private static final Duration WINDOW = Duration.ofSeconds(4);
 
-    /** There may be an owner again this soon. */
-    private static final Duration ASK_AGAIN_AFTER = Duration.ofMillis(200);
+    /** Maximum time until the owner is asked again; there may be an owner again after this time. */
+    private static final Duration OWNER_RETRY_INTERVAL = Duration.ofMillis(200);
 
-    /** The part of its target that a request may wait for the owner's answer, twice at most. */
-    private static final double OWNER_WAIT_SHARE = 0.06;
+    /**
+     * Share of its target that a request may wait for an answer of the owner, in each of at most
+     * two attempts.
+     */
+    private static final double OWNER_TIMEOUT_SHARE = 0.06;
 
-    /** The longest time behind other callers, since callers rarely wait for more. */
-    private static final Duration LONGEST_QUEUE = Duration.ofSeconds(8);
+    /** Maximum retry time due to other callers, since callers rarely wait longer. */
+    private static final Duration MAX_QUEUE_WAIT = Duration.ofSeconds(8);
 
     private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
@@ -68,36 +72,36 @@
     private final SharedQuota mQuota;
     private final IntSupplier mInstances;
     private final MonotonicClock mClock;
-    private final LonePace mLonePace;
-    private final ReturnQueue mReturns;
+    private final LocalRateLimiter mLocalLimiter;
+    private final RetryQueue mRetryQueue;
     private final UpstreamPauses mPauses;
 
-    private final Map<Incarnation, Full> mFull = new ConcurrentHashMap<>();
+    private final Map<Incarnation, Exhausted> mExhausted = new ConcurrentHashMap<>();
 
     private final AtomicLong mChanges = new AtomicLong();
     private final UnreadableStatements mUnreadable =
-            new UnreadableStatements("a limit that is no number");
+            new UnreadableStatements("a rate limit that is not a number");
     private final AtomicLong mCounted = new AtomicLong();
-    private final AtomicLong mAlone = new AtomicLong();
+    private final AtomicLong mSentWithoutOwner = new AtomicLong();
     private final AtomicLong mHeldBack = new AtomicLong();
 
     /**
-     * This instance does not ask for more of an upstream.
+     * State of an upstream of which this instance requests no more capacity.
      *
-     * @param limit the limit that it has reached; once another holds, it is asked for more again
-     * @param untilNanos when there may be room under that limit
+     * @param limit limit that was reached; once another limit is known, the owner is asked again
+     * @param untilNanos monotonic time at which there may be capacity under that limit
      */
-    private record Full(UpstreamLimit limit, long untilNanos) {}
+    private record Exhausted(UpstreamLimit limit, long untilNanos) {}
 
     /**
-     * Creates it.
+     * Creates the rate control.
      *
-     * @param limits holds what is known
-     * @param announcer passes on what this instance hears
-     * @param quota reaches the owner
-     * @param instances how many instances send requests now, at least 1
-     * @param random spreads what instances do alone
-     * @param clock the clock
+     * @param limits holds the known limits
+     * @param announcer distributes the limits that this instance receives
+     * @param quota quota that reaches the owner
+     * @param instances returns the number of instances that send requests now, at least 1
+     * @param random spreads the first requests of instances that have no owner
+     * @param clock monotonic clock
      */
     public UpstreamPace(
             UpstreamLimits limits,
@@ -111,20 +115,21 @@
         mQuota = quota;
         mInstances = instances;
         mClock = clock;
-        mLonePace = new LonePace(instances, random, clock);
-        mReturns = new ReturnQueue(clock);
+        mLocalLimiter = new LocalRateLimiter(instances, random, clock);
+        mRetryQueue = new RetryQueue(clock);
         mPauses = new UpstreamPauses(clock);
     }
 
     /**
-     * Learns from a response, which must be of that incarnation and to a call of this instance.
+     * Processes the statement of a response, which must come from that incarnation and belong to a
+     * call of this instance.
      *
-     * @param upstream the incarnation that responded
-     * @param statement what it states
-     * @param hasServed whether it is the answer to a request that was served. One that is not, such
-     *     as an error or the answer to a reservation, may come from a part of the upstream that
-     *     states no limits, so it ends none
-     * @param sentNanos when its request was sent, by the clock
+     * @param upstream incarnation that responded
+     * @param statement statement of the response
+     * @param hasServed whether the response belongs to a request that was served. Others, such as
+     *     an error or the answer to a reservation, may come from a part of the upstream that states
+     *     no limits, so they revoke none
+     * @param sentNanos monotonic time at which the request was sent
      */
     public void observe(
             Incarnation upstream, UpstreamStatement statement, boolean hasServed, long sentNanos) {
@@ -153,11 +158,11 @@
     }
 
     /**
-     * Takes the right to send one request.
+     * Acquires the permission to send one request.
      *
-     * @param upstream where it is to be sent
-     * @param target the time within which the request's answer is of full use
-     * @return the right, or that there is none now
+     * @param upstream incarnation to which it is to be sent
+     * @param target time within which the answer to the request is of full use
+     * @return the permit, granted or refused
      * @throws InterruptedException if the thread is interrupted
      */
     public SendPermit take(Incarnation upstream, Duration target) throws InterruptedException {
@@ -168,20 +173,20 @@
         if (limit.isEmpty()) {
             return SendPermit.FREE;
         }
-        if (!untilRoom(upstream).isZero()) {
+        if (!untilCapacity(upstream).isZero()) {
             return refused();
         }
         QuotaAsk ask = ask(limit.get());
-        Duration longest = Duration.ofNanos((long) (OWNER_WAIT_SHARE * target.toNanos()));
-        QuotaAnswer answer = mQuota.take(ask, longest);
+        Duration ownerTimeout = Duration.ofNanos((long) (OWNER_TIMEOUT_SHARE * target.toNanos()));
+        QuotaAnswer answer = mQuota.take(ask, ownerTimeout);
         if (answer.isGranted()) {
             mCounted.incrementAndGet();
             return SendPermit.counted(ask);
         }
         if (answer.outcome() == QuotaAnswer.Outcome.NO_OWNER) {
-            return takeAlone(limit.get());
+            return takeWithoutOwner(limit.get());
         }
-        full(limit.get(), answer.comeBackAfter());
+        markExhausted(limit.get(), answer.comeBackAfter());
         return refused();
     }
 
@@ -192,16 +197,17 @@
     }
 
     private static double rate(UpstreamLimit limit) {
-        return Math.max(LEAST_PER_SECOND, limit.perSecond().orElseThrow());
+        return Math.max(MIN_PER_SECOND, limit.perSecond().orElseThrow());
     }
 
-    private SendPermit takeAlone(UpstreamLimit limit) {
-        Duration wait = mLonePace.take(limit.upstream(), rate(limit));
+    private SendPermit takeWithoutOwner(UpstreamLimit limit) {
+        Duration wait = mLocalLimiter.take(limit.upstream(), rate(limit));
         if (wait.isZero()) {
-            mAlone.incrementAndGet();
+            mSentWithoutOwner.incrementAndGet();
             return SendPermit.FREE;
         }
-        full(limit, wait.compareTo(ASK_AGAIN_AFTER) < 0 ? wait : ASK_AGAIN_AFTER);
+        markExhausted(
+                limit, wait.compareTo(OWNER_RETRY_INTERVAL) < 0 ? wait : OWNER_RETRY_INTERVAL);
         return refused();
     }
 
@@ -210,23 +216,23 @@
         return SendPermit.REFUSED;
     }
 
-    private void full(UpstreamLimit limit, Duration wait) {
-        mFull.put(limit.upstream(), new Full(limit, mClock.nanoTime() + wait.toNanos()));
+    private void markExhausted(UpstreamLimit limit, Duration wait) {
+        mExhausted.put(limit.upstream(), new Exhausted(limit, mClock.nanoTime() + wait.toNanos()));
     }
 
     /**
-     * Gives a right back of which no use was made.
+     * Returns a permit that was not used.
      *
-     * @param permit the right
+     * @param permit the permit
      */
     public void giveBack(SendPermit permit) {
         permit.owed().ifPresent(ask -> mQuota.giveBack(ask, QuotaAnswer.GRANTED));
     }
 
     /**
-     * Tells whether an upstream has asked for a pause that is not over.
+     * Returns whether an upstream has requested a pause that is not over.
      *
-     * @param upstream the upstream
+     * @param upstream incarnation of the upstream
      * @return true if nothing is to be sent to it now
      */
     public boolean isPaused(Incarnation upstream) {
@@ -239,81 +245,80 @@
     }
 
     /**
-     * Notes that an upstream has refused a request. If it states a limit, it has no room now,
+     * Records that an upstream has refused a request. If it states a limit, it has no capacity now,
      * whatever was counted.
      *
-     * @param upstream the upstream
-     * @return whether that is for its limit or its pause; false if the refusal has another reason
+     * @param upstream incarnation of the upstream
+     * @return true if its limit or its pause explains the refusal; false if the refusal has another
+     *     cause
      */
     public boolean refusedBy(Incarnation upstream) {
         Optional<UpstreamLimit> limit = mLimits.find(upstream);
-        limit.ifPresent(known -> full(known, pause(rate(known))));
+        limit.ifPresent(known -> markExhausted(known, interval(rate(known))));
         return limit.isPresent() || mPauses.isPaused(upstream);
     }
 
-    /** Returns the time between two requests at a rate. */
-    private static Duration pause(double perSecond) {
+    /** Returns the interval between two requests at a rate. */
+    private static Duration interval(double perSecond) {
         return Duration.ofNanos((long) (NANOS_PER_SECOND / perSecond));
     }
 
     /**
-     * Tells when the first of some upstreams is no longer passed over.
+     * Returns the time until the first of several upstreams is no longer excluded.
      *
-     * @param upstreams the upstreams, at least one
-     * @return the time until then
+     * @param upstreams incarnations, at least one
+     * @return time until then; zero if one is available now
      */
     public Duration untilAnyTakesWork(Collection<Incarnation> upstreams) {
-        return upstreams.stream()
-                .map(this::untilItTakesWork)
-                .min(Duration::compareTo)
-                .orElseThrow();
+        return upstreams.stream().map(this::untilAvailable).min(Duration::compareTo).orElseThrow();
     }
 
     /** Returns how long this instance sends nothing to an upstream. */
-    private Duration untilItTakesWork(Incarnation upstream) {
-        Duration untilRoom = untilRoom(upstream);
-        Duration pause = mPauses.left(upstream);
-        return pause.compareTo(untilRoom) > 0 ? pause : untilRoom;
+    private Duration untilAvailable(Incarnation upstream) {
+        Duration untilCapacity = untilCapacity(upstream);
+        Duration pause = mPauses.remaining(upstream);
+        return pause.compareTo(untilCapacity) > 0 ? pause : untilCapacity;
     }
 
-    /** Returns how long this instance does not ask for more of an upstream. */
-    private Duration untilRoom(Incarnation upstream) {
-        Full full = mFull.get(upstream);
-        if (full == null) {
+    /** Returns how long this instance requests no more capacity of an upstream. */
+    private Duration untilCapacity(Incarnation upstream) {
+        Exhausted exhausted = mExhausted.get(upstream);
+        if (exhausted == null) {
             return Duration.ZERO;
         }
-        long leftNanos = full.untilNanos() - mClock.nanoTime();
-        if (leftNanos <= 0 || !mLimits.find(upstream).equals(Optional.of(full.limit()))) {
-            mFull.remove(upstream, full);
+        long remainingNanos = exhausted.untilNanos() - mClock.nanoTime();
+        if (remainingNanos <= 0 || !mLimits.find(upstream).equals(Optional.of(exhausted.limit()))) {
+            mExhausted.remove(upstream, exhausted);
             return Duration.ZERO;
         }
-        return Duration.ofNanos(leftNanos);
+        return Duration.ofNanos(remainingNanos);
     }
 
     /**
-     * Returns what this instance may have of something that all instances share, without asking the
-     * others. Where there are more instances than there is of it, all together may exceed it.
+     * Returns the share of this instance in a resource of all instances, without communication. If
+     * there are more instances than units of the resource, the sum of the shares exceeds the total.
      *
-     * @param ofAll what there is for all together
-     * @return an equal part, at least 1
+     * @param ofAll total of all instances
+     * @return an equal share, at least 1
      */
     public int equalPart(int ofAll) {
         return Math.max(1, ofAll / mInstances.getAsInt());
     }
 
     /**
-     * Names the upstreams that are to be passed over now.
+     * Returns the upstreams that are excluded now, because they are paused or have reached their
+     * limit.
      *
-     * @return their identities
+     * @return identities of the upstreams
      */
     public Set<String> passedOver() {
         Set<String> paused = mPauses.paused();
-        if (mFull.isEmpty()) {
+        if (mExhausted.isEmpty()) {
             return paused;
         }
         Set<String> names = new HashSet<>(paused);
-        for (Incarnation upstream : mFull.keySet()) {
-            if (!untilRoom(upstream).isZero()) {
+        for (Incarnation upstream : mExhausted.keySet()) {
+            if (!untilCapacity(upstream).isZero()) {
                 names.add(upstream.id());
             }
         }
@@ -321,14 +326,15 @@
     }
 
     /**
-     * Tells a caller that was refused because all upstreams are passed over when the first of them
-     * takes work, behind all callers that were refused here before it.
+     * Returns the retry time for a caller that was refused because all upstreams are excluded: the
+     * time until the first of them accepts work, after all callers that this instance refused
+     * earlier.
      *
-     * @param service the service
-     * @param upstreams the upstreams that could take the request, at least one
-     * @param unlimitedPerSecond the requests a second that one without a limit is expected to take
+     * @param service name of the service
+     * @param upstreams incarnations that could serve the request, at least one
+     * @param unlimitedPerSecond requests per second expected of an upstream without a limit
      * @param longest how long the caller can wait
-     * @return when to come back
+     * @return time after which to retry
      */
     public Duration comeBackAfter(
             String service,
@@ -341,15 +347,15 @@
                         .mapToDouble(
                                 limit -> limit.map(UpstreamPace::rate).orElse(unlimitedPerSecond))
                         .sum();
-        Duration untilOneTakesWork = untilAnyTakesWork(upstreams);
-        Duration pause = pause(perSecond / mInstances.getAsInt());
-        Duration wait = mReturns.join(service, untilOneTakesWork, pause, longest);
-        Duration most = untilOneTakesWork.plus(LONGEST_QUEUE);
-        return wait.compareTo(most) < 0 ? wait : most;
+        Duration untilAnyAvailable = untilAnyTakesWork(upstreams);
+        Duration interval = interval(perSecond / mInstances.getAsInt());
+        Duration wait = mRetryQueue.join(service, untilAnyAvailable, interval, longest);
+        Duration maxWait = untilAnyAvailable.plus(MAX_QUEUE_WAIT);
+        return wait.compareTo(maxWait) < 0 ? wait : maxWait;
     }
 
     /**
-     * Takes a registration, which may end what is known of an earlier start of the upstream.
+     * Processes a registration, which may end an earlier incarnation of the upstream.
      *
      * @param registration the registration
      */
@@ -360,20 +366,20 @@
             return;
         }
         mLimits.forget(hasEnded);
-        mFull.keySet().removeIf(hasEnded);
-        mLonePace.forget(hasEnded);
+        mExhausted.keySet().removeIf(hasEnded);
+        mLocalLimiter.forget(hasEnded);
     }
 
-    /** Returns what was counted, for logs. */
+    /** Returns the counters, for logs. */
     @Override
     public String toString() {
-        return ("%d changes heard, %d statements unreadable, %d requests counted by the owner, %d"
-                        + " sent without one; %s; held back %d times")
+        return ("%d limit changes received, %d limits unreadable, %d requests counted by the owner,"
+                        + " %d sent without an owner; %s; %d calls held back")
                 .formatted(
                         mChanges.get(),
                         mUnreadable.count(),
                         mCounted.get(),
-                        mAlone.get(),
+                        mSentWithoutOwner.get(),
                         mPauses,
                         mHeldBack.get());
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashRegistry.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashRegistry.java
@@ -20,119 +20,120 @@
 /**
  * The crash records that one instance holds.
  *
- * <p>Invariants: of each request the newest record is held; a quarantined request is forgotten only
- * when there are more than {@link #CAPACITY} records and no other gives way before it. Thread-safe.
+ * <p>Invariants: for each request the newest record is held; a quarantined request is evicted only
+ * when there are more than {@link #CAPACITY} records and no record of another kind is left to
+ * evict. Thread-safe.
  */
 public final class CrashRegistry {
-    /** Records held at most, some 64 bytes each. */
+    /** Maximum number of records, about 64 bytes each. */
     public static final int CAPACITY = 4_096;
 
-    /** A cleared request is remembered while older records of it may still be on their way. */
-    private static final Duration REMEMBER_CLEARED = Duration.ofMinutes(10);
+    /** Retention of cleared requests, while older records of them may still be in transit. */
+    private static final Duration CLEARED_RETENTION = Duration.ofMinutes(10);
 
-    /** A suspected request that has not crashed again for this long is forgotten. */
-    private static final Duration REMEMBER_SUSPECT = Duration.ofHours(1);
+    /** Retention of suspected requests since their last crash. */
+    private static final Duration SUSPECT_RETENTION = Duration.ofHours(1);
 
     private final OrderedLock mLock = new OrderedLock(LockRank.QUARANTINE);
-    private final Map<RequestFingerprint, Held> mRecords = new HashMap<>();
+    private final Map<RequestFingerprint, Entry> mRecords = new HashMap<>();
     private final MonotonicClock mClock;
 
-    private long mForgotNanos;
+    private long mExpiryCheckNanos;
 
-    /** Read without the lock, so that requests pay nothing while no crash is known. */
+    /** Read without the lock, so that requests incur no cost while no crash is known. */
     private volatile boolean mIsEmpty = true;
 
-    private record Held(CrashRecord record, long changedNanos) {
-        /** Orders what gives way first: cleared, then suspected, then quarantined; the oldest. */
-        static final Comparator<Held> GIVES_WAY =
-                Comparator.comparing((Held held) -> held.record.isQuarantined())
+    private record Entry(CrashRecord record, long changedNanos) {
+        /** Eviction order: cleared, then suspected, then quarantined; the oldest first. */
+        static final Comparator<Entry> EVICTION_ORDER =
+                Comparator.comparing((Entry held) -> held.record.isQuarantined())
                         .thenComparing(held -> held.record.isSuspect())
-                        .thenComparingLong(Held::changedNanos);
+                        .thenComparingLong(Entry::changedNanos);
 
-        boolean isOld(long nowNanos) {
-            Duration remember = record.isSuspect() ? REMEMBER_SUSPECT : REMEMBER_CLEARED;
-            return !record.isQuarantined() && nowNanos - changedNanos > remember.toNanos();
+        boolean isExpired(long nowNanos) {
+            Duration retention = record.isSuspect() ? SUSPECT_RETENTION : CLEARED_RETENTION;
+            return !record.isQuarantined() && nowNanos - changedNanos > retention.toNanos();
         }
     }
 
     /**
      * Creates an empty registry.
      *
-     * @param clock tells how old records are
+     * @param clock clock for the age of records
      */
     public CrashRegistry(MonotonicClock clock) {
         mClock = clock;
-        mForgotNanos = clock.nanoTime();
+        mExpiryCheckNanos = clock.nanoTime();
     }
 
     /**
-     * Tells whether no crash is known.
+     * Returns whether no crash is known.
      *
-     * @return true if it holds no records
+     * @return true if the registry holds no records
      */
     public boolean isEmpty() {
         return mIsEmpty;
     }
 
     /**
-     * Finds the record of a request.
+     * Returns the record of a request.
      *
-     * @param fingerprint the request
+     * @param fingerprint fingerprint of the request
      * @return its record; one without crashes if none is held
      */
     public CrashRecord find(RequestFingerprint fingerprint) {
         try (OrderedLock.Held _ = mLock.hold()) {
-            forgetOldNowAndThen();
+            expirePeriodically();
             return held(fingerprint);
         }
     }
 
-    /** Once all is forgotten, requests need no fingerprints any more. */
-    private void forgetOldNowAndThen() {
+    /** Requests need no fingerprints once all records have expired. */
+    private void expirePeriodically() {
         long nowNanos = mClock.nanoTime();
-        if (nowNanos - mForgotNanos > REMEMBER_CLEARED.toNanos()) {
-            forgetOld(nowNanos);
+        if (nowNanos - mExpiryCheckNanos > CLEARED_RETENTION.toNanos()) {
+            removeExpired(nowNanos);
         }
     }
 
-    private void forgetOld(long nowNanos) {
-        mForgotNanos = nowNanos;
-        mRecords.values().removeIf(held -> held.isOld(nowNanos));
+    private void removeExpired(long nowNanos) {
+        mExpiryCheckNanos = nowNanos;
+        mRecords.values().removeIf(held -> held.isExpired(nowNanos));
         mIsEmpty = mRecords.isEmpty();
     }
 
     private CrashRecord held(RequestFingerprint fingerprint) {
-        Held held = mRecords.get(fingerprint);
+        Entry held = mRecords.get(fingerprint);
         return held == null ? CrashRecord.none(fingerprint) : held.record();
     }
 
     /**
-     * Merges records that were received or made here.
+     * Merges records that were received or created locally.
      *
      * @param records the records
-     * @return those that were new
+     * @return the records that replaced older ones
      */
     public List<CrashRecord> merge(Collection<CrashRecord> records) {
         try (OrderedLock.Held _ = mLock.hold()) {
             List<CrashRecord> changed = new ArrayList<>();
             for (CrashRecord record : records) {
                 if (record.isNewerThan(held(record.fingerprint()))) {
-                    mRecords.put(record.fingerprint(), new Held(record, mClock.nanoTime()));
+                    mRecords.put(record.fingerprint(), new Entry(record, mClock.nanoTime()));
                     changed.add(record);
                 }
             }
             if (!changed.isEmpty()) {
-                makeRoom();
+                evict();
             }
             return changed;
         }
     }
 
     /**
-     * Clears a request of which crashes are known.
+     * Clears a request with known crashes.
      *
-     * @param fingerprint the request
-     * @return the new record; nothing if none had to be cleared
+     * @param fingerprint fingerprint of the request
+     * @return the new record; empty if the request was not suspected
      */
     public Optional<CrashRecord> clear(RequestFingerprint fingerprint) {
         CrashRecord before = find(fingerprint);
@@ -142,10 +143,10 @@
         return merge(List.of(before.cleared())).stream().findFirst();
     }
 
-    private void makeRoom() {
-        forgetOld(mClock.nanoTime());
+    private void evict() {
+        removeExpired(mClock.nanoTime());
         while (mRecords.size() > CAPACITY) {
-            Held first = mRecords.values().stream().min(Held.GIVES_WAY).orElseThrow();
+            Entry first = mRecords.values().stream().min(Entry.EVICTION_ORDER).orElseThrow();
             mRecords.remove(first.record().fingerprint());
         }
     }
@@ -157,12 +158,12 @@
      */
     public List<CrashRecord> all() {
         try (OrderedLock.Held _ = mLock.hold()) {
-            return mRecords.values().stream().map(Held::record).toList();
+            return mRecords.values().stream().map(Entry::record).toList();
         }
     }
 
     /**
-     * Returns the records of the requests that must not be run.
+     * Returns the records of the quarantined requests.
      *
      * @return a copy
      */
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/SharedQuota.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/SharedQuota.java
@@ -21,49 +21,52 @@
     /**
      * Creates a quota.
      *
-     * @param owner reaches the owner
+     * @param owner client of the owner
      */
     public SharedQuota(QuotaOwnerClient owner) {
         mOwner = owner;
     }
 
     /**
-     * Takes units. If the owner is silent, others that may grant some are asked.
+     * Takes units. If the owner does not answer, the request is repeated once, and voters without
+     * the lease may grant it.
      *
-     * @param ask what is to be used
-     * @param longest how long each of the two answers is waited for
-     * @return granted; or not, and when to come back
+     * @param ask the request
+     * @param timeout time to wait in each of the two attempts
+     * @return granted; or not, with the time to retry after
      * @throws InterruptedException if the thread is interrupted
      */
-    public QuotaAnswer take(QuotaAsk ask, Duration longest) throws InterruptedException {
-        QuotaAnswer answer = await(mOwner.askOwner(ask), longest);
+    public QuotaAnswer take(QuotaAsk ask, Duration timeout) throws InterruptedException {
+        QuotaAnswer answer = await(mOwner.askOwner(ask), timeout);
         if (answer.outcome() != QuotaAnswer.Outcome.NO_OWNER) {
             return answer;
         }
-        QuotaAnswer second = await(mOwner.askOwner(ask), longest);
-        LOG.debug("%s: no owner answered, then %s", ask.key(), second.outcome());
-        return second;
+        QuotaAnswer retried = await(mOwner.askOwner(ask), timeout);
+        LOG.debug(
+                "%s: quota owner did not answer; result of the second attempt: %s",
+                ask.key(), retried.outcome());
+        return retried;
     }
 
-    private static QuotaAnswer await(CompletableFuture<QuotaAnswer> answer, Duration longest)
+    private static QuotaAnswer await(CompletableFuture<QuotaAnswer> answer, Duration timeout)
             throws InterruptedException {
         try {
-            return answer.get(longest.toNanos(), TimeUnit.NANOSECONDS);
+            return answer.get(timeout.toNanos(), TimeUnit.NANOSECONDS);
         } catch (TimeoutException e) {
-            // An answer that comes just now counts; one that comes later is given back.
+            // An answer that arrived meanwhile counts; the units of a later one are returned.
             answer.complete(QuotaAnswer.NO_OWNER);
             return answer.join();
         } catch (ExecutionException e) {
-            throw new IllegalStateException("an answer of the owner failed", e);
+            throw new IllegalStateException("request to the quota owner failed", e);
         }
     }
 
     /**
-     * Gives units back that were taken and not used. What was taken without the owner is not: its
-     * bucket never held it.
+     * Returns units that were taken and not used. Units granted without the owner are not returned,
+     * because its bucket never counted them.
      *
-     * @param ask what was taken
-     * @param answer how it was granted
+     * @param ask the request that took the units
+     * @param answer the answer that granted them
      */
     public void giveBack(QuotaAsk ask, QuotaAnswer answer) {
         if (answer.outcome() == QuotaAnswer.Outcome.GRANTED) {
