--- a/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/Parts.java
+++ b/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/Parts.java
@@ -12,7 +12,7 @@
 import org.orchidmount.clock.MonotonicClock;
 import org.orchidmount.controller.Admission;
 import org.orchidmount.internal.http.HttpConnections;
-import org.orchidmount.limits.LimitBook;
+import org.orchidmount.limits.LocalLimits;
 import org.orchidmount.limits.RetryBudget;
 import org.orchidmount.quarantine.CrashReports;
 import org.orchidmount.settings.Settings;
@@ -46,7 +46,7 @@
         TableStore table,
         Blackboard board,
         RequestBoard requests,
-        LimitBook limits,
+        LocalLimits limits,
         RetryBudget retries,
         Admission admission,
         EngineClient engines,
--- a/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/PlainHandler.java
+++ b/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/PlainHandler.java
@@ -25,7 +25,7 @@
 import org.orchidmount.internal.http.HttpHead;
 import org.orchidmount.internal.http.ServerExchange;
 import org.orchidmount.internal.log.PartLog;
-import org.orchidmount.limits.LimitBook.Limit;
+import org.orchidmount.limits.LocalLimits.Limit;
 import org.orchidmount.routing.RetryAfter;
 import org.orchidmount.table.PoolRow;
 import org.orchidmount.table.RouteRow;
--- a/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/RunningDaemon.java
+++ b/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/RunningDaemon.java
@@ -32,13 +32,13 @@
 import org.orchidmount.internal.table.FileTableStore;
 import org.orchidmount.internal.upstream.EngineProtocol;
 import org.orchidmount.internal.upstream.HttpEngineClient;
-import org.orchidmount.limits.LimitBook;
+import org.orchidmount.limits.LocalLimits;
 import org.orchidmount.limits.TokenBucketRetryBudget;
 import org.orchidmount.quarantine.ConnectProbe;
 import org.orchidmount.quarantine.ConnectionWatch;
 import org.orchidmount.quarantine.CrashRegistry;
 import org.orchidmount.quarantine.CrashReports;
-import org.orchidmount.quarantine.SharedTurns;
+import org.orchidmount.quarantine.RunLock;
 import org.orchidmount.routing.Policies;
 import org.orchidmount.settings.Settings;
 import org.orchidmount.upstream.EngineClient;
@@ -157,7 +157,7 @@
         Blackboard board = new Blackboard(clock, mSettings.zone());
         mTable.addListener(board::applyTable);
         board.applyTable(mTable.current());
-        LimitBook limits = new LimitBook();
+        LocalLimits limits = new LocalLimits();
         Admission admission =
                 new Admission(
                         board,
@@ -194,7 +194,7 @@
                         record -> {},
                         new ConnectProbe(),
                         new ConnectionWatch(new ConnectProbe()),
-                        SharedTurns.ALONE,
+                        RunLock.UNCOORDINATED,
                         clock);
         metrics.gauge("request.quarantine.crashes", () -> crashes::crashCount);
         metrics.gauge("request.quarantine.refusals", () -> crashes::refusalCount);
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/ClusterCodecTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/ClusterCodecTest.java
@@ -31,8 +31,8 @@
 import org.orchidmount.quarantine.CrashRecord;
 import org.orchidmount.quarantine.RequestFingerprint;
 import org.orchidmount.quota.QuotaAnswer;
-import org.orchidmount.quota.QuotaAsk;
 import org.orchidmount.quota.QuotaLimit;
+import org.orchidmount.quota.QuotaRequest;
 
 /** Tests {@code ClusterCodec}. */
 final class ClusterCodecTest {
@@ -55,9 +55,9 @@
                 new ClusterMessage.TableRequest(),
                 new ClusterMessage.Registrations(3, List.of(engine("i-1"))),
                 new ClusterMessage.RegistrationsAck(3),
-                new ClusterMessage.QuotaRequest(
+                new ClusterMessage.QuotaRequestMessage(
                         7,
-                        new QuotaAsk(
+                        new QuotaRequest(
                                 "mill",
                                 new QuotaLimit(12.5, 30, 4, Duration.ofSeconds(8)),
                                 9,
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/ControlPinTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/ControlPinTest.java
@@ -110,7 +110,7 @@
     @Test
     void ordersAreGivenWhenTheyWere() {
         List<String> lines = new ArrayList<>();
-        for (StageOrders.Result result : StageOrders.Result.values()) {
+        for (StageOrderClient.Result result : StageOrderClient.Result.values()) {
             for (int prefill : new int[] {0, 1, 2, 4}) {
                 lines.addAll(orders(result, prefill));
             }
@@ -119,12 +119,12 @@
     }
 
     /** Plays 50 s of a leader whose engines do not follow its orders, with a new term at 30 s. */
-    private static List<String> orders(StageOrders.Result result, int prefill) {
+    private static List<String> orders(StageOrderClient.Result result, int prefill) {
         List<String> lines = new ArrayList<>();
-        AtomicReference<StageOrders.Order> given = new AtomicReference<>();
+        AtomicReference<StageOrderClient.Order> given = new AtomicReference<>();
         StageController controller =
                 new StageController(
-                        new VoterConfig.Stages(
+                        new VoterConfig.StageOrderConfig(
                                 Duration.ofMillis(3_000),
                                 Duration.ofMillis(1_000),
                                 0.33,
@@ -140,7 +140,7 @@
             controller.tick(term, engines(6, prefill), List.of(), () -> true, millis * 1_000_000);
             Await.until(
                     "order ended", Duration.ofSeconds(10), () -> !controller.isOrderInProgress());
-            StageOrders.Order order = given.getAndSet(null);
+            StageOrderClient.Order order = given.getAndSet(null);
             if (order != null) {
                 lines.add(
                         "%s, %d of 6 prefill: at %d ms %s to %s, fence %d by %s"
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/QuotaRequestsTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/QuotaRequestsTest.java
@@ -23,7 +23,7 @@
 import org.orchidmount.cluster.ClusterMessage.Greeting;
 import org.orchidmount.cluster.ClusterMessage.KeepAlive;
 import org.orchidmount.cluster.ClusterMessage.QuotaReply;
-import org.orchidmount.cluster.ClusterMessage.QuotaRequest;
+import org.orchidmount.cluster.ClusterMessage.QuotaRequestMessage;
 import org.orchidmount.cluster.ClusterMessage.QuotaReturn;
 import org.orchidmount.consensus.Member;
 import org.orchidmount.junit.Await;
@@ -31,14 +31,14 @@
 import org.orchidmount.membership.Registration;
 import org.orchidmount.quota.QuotaAnswer;
 import org.orchidmount.quota.QuotaAnswer.Outcome;
-import org.orchidmount.quota.QuotaAsk;
 import org.orchidmount.quota.QuotaLimit;
+import org.orchidmount.quota.QuotaRequest;
 
 /** Whom an entry asks for units of a limit, by voters that answer as each case has it. */
 final class QuotaRequestsTest {
     private static final Duration LONGEST = Duration.ofSeconds(30);
-    private static final QuotaAsk ASK =
-            new QuotaAsk("mill", new QuotaLimit(10, 20, 30, Duration.ofSeconds(8)), 1, 5);
+    private static final QuotaRequest ASK =
+            new QuotaRequest("mill", new QuotaLimit(10, 20, 30, Duration.ofSeconds(8)), 1, 5);
 
     private final Queue<String> mSeen = new ConcurrentLinkedQueue<>();
     private final Queue<LinkServer> mServers = new ConcurrentLinkedQueue<>();
@@ -57,13 +57,14 @@
     }
 
     /** Starts a voter that notes what it gets and answers requests as told. */
-    private void voter(HostPort address, BiConsumer<Link, QuotaRequest> answer) throws IOException {
+    private void voter(HostPort address, BiConsumer<Link, QuotaRequestMessage> answer)
+            throws IOException {
         Member member = new Member(address + "/first", address.toString(), address.toString());
         Link.Handler handler =
                 new Link.Handler() {
                     @Override
                     public void received(Link link, ClusterMessage message) {
-                        if (message instanceof QuotaRequest request) {
+                        if (message instanceof QuotaRequestMessage request) {
                             mSeen.add(address + (request.isOwnerSilent() ? " silent" : " asked"));
                             answer.accept(link, request);
                         } else if (message instanceof QuotaReturn units) {
@@ -110,7 +111,8 @@
                 .outcome();
     }
 
-    private static QuotaReply reply(QuotaRequest request, QuotaAnswer answer, HostPort owner) {
+    private static QuotaReply reply(
+            QuotaRequestMessage request, QuotaAnswer answer, HostPort owner) {
         return new QuotaReply(request.number(), answer, owner.toString());
     }
 
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/RestartedUpstreamTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/RestartedUpstreamTest.java
@@ -217,12 +217,12 @@
     }
 
     private VoterNode voter() throws IOException {
-        VoterConfig.Stages stages =
-                new VoterConfig.Stages(
+        VoterConfig.StageOrderConfig stages =
+                new VoterConfig.StageOrderConfig(
                         Duration.ofSeconds(3),
                         Duration.ofSeconds(1),
                         0.33,
-                        (order, held, statements) -> StageOrders.Result.REFUSED);
+                        (order, held, statements) -> StageOrderClient.Result.REFUSED);
         return VoterNode.start(
                 new VoterConfig(
                         "voter",
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/StageControllerTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/StageControllerTest.java
@@ -33,11 +33,11 @@
     private static final long TERM = 7;
     private static final Duration WAIT = Duration.ofSeconds(10);
 
-    private final BlockingQueue<StageOrders.Order> mOrders = new LinkedBlockingQueue<>();
-    private volatile StageOrders.Result mResult = StageOrders.Result.TAKEN;
+    private final BlockingQueue<StageOrderClient.Order> mOrders = new LinkedBlockingQueue<>();
+    private volatile StageOrderClient.Result mResult = StageOrderClient.Result.TAKEN;
     private final StageController mController =
             new StageController(
-                    new VoterConfig.Stages(
+                    new VoterConfig.StageOrderConfig(
                             Duration.ofMillis(3_000),
                             Duration.ofMillis(1_000),
                             0.33,
@@ -55,7 +55,7 @@
         pass(TERM, 3_600);
         assertThat(mOrders).isEmpty();
         pass(TERM, 2_000);
-        StageOrders.Order order = mOrders.poll(10, TimeUnit.SECONDS);
+        StageOrderClient.Order order = mOrders.poll(10, TimeUnit.SECONDS);
         assertThat(order.fence()).isEqualTo(TERM);
         assertThat(order.holder()).isEqualTo("voter-1");
     }
@@ -70,7 +70,7 @@
 
     @Test
     void anOrderThatMayYetBeDoneIsWaitedFor() throws InterruptedException {
-        mResult = StageOrders.Result.UNKNOWN;
+        mResult = StageOrderClient.Result.UNKNOWN;
         pass(TERM, 6_000);
         assertThat(mOrders.poll(10, TimeUnit.SECONDS)).isNotNull();
         pass(TERM, 12_000);
@@ -79,7 +79,7 @@
 
     @Test
     void aFencedLeaderGivesNoMoreOrders() throws InterruptedException {
-        mResult = StageOrders.Result.FENCED;
+        mResult = StageOrderClient.Result.FENCED;
         pass(TERM, 6_000);
         assertThat(mOrders.poll(10, TimeUnit.SECONDS)).isNotNull();
         pass(TERM, 60_000);
@@ -89,7 +89,7 @@
     @Test
     void anOrderOfAnEarlierTermThatIsFencedDoesNotStopTheNext() throws InterruptedException {
         CountDownLatch answer = new CountDownLatch(1);
-        BlockingQueue<StageOrders.Order> orders = new LinkedBlockingQueue<>();
+        BlockingQueue<StageOrderClient.Order> orders = new LinkedBlockingQueue<>();
         StageController controller =
                 new StageController(
                         stages(
@@ -97,8 +97,8 @@
                                     orders.add(order);
                                     awaitUninterruptibly(answer);
                                     return order.fence() == TERM
-                                            ? StageOrders.Result.FENCED
-                                            : StageOrders.Result.TAKEN;
+                                            ? StageOrderClient.Result.FENCED
+                                            : StageOrderClient.Result.TAKEN;
                                 }),
                         "voter-1",
                         new UpstreamPauses(new ManualClock()),
@@ -131,7 +131,7 @@
     @Test
     void anOrderThatAnEngineTookBeforeItStartedAgainIsNotWaitedFor() throws InterruptedException {
         pass(TERM, 6_000);
-        StageOrders.Order taken = mOrders.poll(10, TimeUnit.SECONDS);
+        StageOrderClient.Order taken = mOrders.poll(10, TimeUnit.SECONDS);
         List<Registration> engines = startedAgain(taken.engine().id());
         pass(TERM, 1_000, engines);
         assertThat(mOrders).isEmpty();
@@ -142,9 +142,9 @@
     /** An order that may have been taken may yet be done by the start that follows. */
     @Test
     void anOrderWithoutAnAnswerIsWaitedForAlsoIfItsEngineStartsAgain() throws InterruptedException {
-        mResult = StageOrders.Result.UNKNOWN;
+        mResult = StageOrderClient.Result.UNKNOWN;
         pass(TERM, 6_000);
-        StageOrders.Order unknown = mOrders.poll(10, TimeUnit.SECONDS);
+        StageOrderClient.Order unknown = mOrders.poll(10, TimeUnit.SECONDS);
         pass(TERM, 12_000, startedAgain(unknown.engine().id()));
         assertThat(mOrders).isEmpty();
     }
@@ -159,7 +159,7 @@
                                 (order, stillHeld, statements) -> {
                                     held.add(stillHeld);
                                     awaitUninterruptibly(answer);
-                                    return StageOrders.Result.REFUSED;
+                                    return StageOrderClient.Result.REFUSED;
                                 }),
                         "voter-1",
                         new UpstreamPauses(new ManualClock()),
@@ -216,7 +216,7 @@
                                                     LimitStatement.NONE,
                                                     new PauseStatement.Lasting(pause),
                                                     false));
-                                    return StageOrders.Result.REFUSED;
+                                    return StageOrderClient.Result.REFUSED;
                                 }),
                         "voter-1",
                         new UpstreamPauses(clock),
@@ -241,8 +241,8 @@
         Await.until("order ended", WAIT, () -> !controller.isOrderInProgress());
     }
 
-    private static VoterConfig.Stages stages(StageOrders orders) {
-        return new VoterConfig.Stages(
+    private static VoterConfig.StageOrderConfig stages(StageOrderClient orders) {
+        return new VoterConfig.StageOrderConfig(
                 Duration.ofMillis(3_000), Duration.ofMillis(1_000), 0.33, orders);
     }
 
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/UpstreamLimitRecordsTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/UpstreamLimitRecordsTest.java
@@ -29,15 +29,15 @@
 import org.orchidmount.membership.Registration;
 import org.orchidmount.pacing.UpstreamLimit;
 import org.orchidmount.quota.QuotaAnswer;
-import org.orchidmount.quota.QuotaAsk;
 import org.orchidmount.quota.QuotaLimit;
+import org.orchidmount.quota.QuotaRequest;
 
 /** What one entry hears of the limit of an upstream, all instances know. */
 final class UpstreamLimitRecordsTest {
     private static final Duration LONGEST = Duration.ofSeconds(20);
     private static final Incarnation UPSTREAM = Incarnation.startedAt("i-1", 7);
-    private static final QuotaAsk ASK =
-            new QuotaAsk("u", new QuotaLimit(100, 100, 0, Duration.ofSeconds(4)), 1, 1);
+    private static final QuotaRequest ASK =
+            new QuotaRequest("u", new QuotaLimit(100, 100, 0, Duration.ofSeconds(4)), 1, 1);
     private static final int VOTERS = 3;
 
     @TempDir Path mFolder;
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/VoterNodeTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/VoterNodeTest.java
@@ -42,8 +42,8 @@
 import org.orchidmount.membership.Incarnation;
 import org.orchidmount.membership.Registration;
 import org.orchidmount.quota.QuotaAnswer;
-import org.orchidmount.quota.QuotaAsk;
 import org.orchidmount.quota.QuotaLimit;
+import org.orchidmount.quota.QuotaRequest;
 import org.orchidmount.routes.CallerLimits;
 import org.orchidmount.routes.ClientAccounts;
 import org.orchidmount.routes.RouteTable;
@@ -179,7 +179,8 @@
     }
 
     private static QuotaAnswer.Outcome take(EntryNode entry, String key, long units) {
-        CompletableFuture<QuotaAnswer> answer = entry.askOwner(new QuotaAsk(key, LIMIT, 1, units));
+        CompletableFuture<QuotaAnswer> answer =
+                entry.askOwner(new QuotaRequest(key, LIMIT, 1, units));
         return answer.completeOnTimeout(
                         QuotaAnswer.NO_OWNER, LONGEST.toMillis(), TimeUnit.MILLISECONDS)
                 .join()
@@ -259,10 +260,10 @@
     @Test
     void anotherTableUnderTheSameVersionIsAConflict() {
         put(5);
-        TableAnswer answer = ask(voter -> voter.putTable(5, "other".getBytes()));
-        assertThat(answer).isEqualTo(new TableAnswer.Conflict(5));
+        TableReply answer = ask(voter -> voter.putTable(5, "other".getBytes()));
+        assertThat(answer).isEqualTo(new TableReply.Conflict(5));
         assertThat(ask(voter -> voter.putTable(5, "5".getBytes())))
-                .isEqualTo(new TableAnswer.Accepted(5));
+                .isEqualTo(new TableReply.Accepted(5));
     }
 
     @Test
@@ -310,10 +311,10 @@
         Await.until(
                 "quorum lost",
                 LONGEST,
-                () -> join(left.readTable()) instanceof TableAnswer.Unavailable);
+                () -> join(left.readTable()) instanceof TableReply.Unavailable);
         assertThat(isHeld(left.leave("i-9"))).isFalse();
         assertThat(join(left.putTable(2, "2".getBytes())))
-                .isInstanceOf(TableAnswer.Unavailable.class);
+                .isInstanceOf(TableReply.Unavailable.class);
         assertThat(versionInForce()).isEqualTo(1);
     }
 
@@ -322,12 +323,12 @@
                 mAddresses.stream()
                         .map(address -> new VoterConfig.Seed(address, address.toString()))
                         .toList();
-        VoterConfig.Stages stages =
-                new VoterConfig.Stages(
+        VoterConfig.StageOrderConfig stages =
+                new VoterConfig.StageOrderConfig(
                         Duration.ofSeconds(3),
                         Duration.ofSeconds(1),
                         0.33,
-                        (order, held, statements) -> StageOrders.Result.REFUSED);
+                        (order, held, statements) -> StageOrderClient.Result.REFUSED);
         HostPort address = mAddresses.get(index);
         return VoterNode.start(
                 new VoterConfig(
@@ -369,28 +370,28 @@
 
     private void put(long version) {
         byte[] document = Long.toString(version).getBytes(StandardCharsets.UTF_8);
-        TableAnswer answer = ask(voter -> voter.putTable(version, document));
-        assertThat(answer).isInstanceOf(TableAnswer.Accepted.class);
+        TableReply answer = ask(voter -> voter.putTable(version, document));
+        assertThat(answer).isInstanceOf(TableReply.Accepted.class);
     }
 
     private String read() {
-        TableAnswer.Current current = (TableAnswer.Current) ask(VoterNode::readTable);
+        TableReply.Current current = (TableReply.Current) ask(VoterNode::readTable);
         return new String(current.document(), StandardCharsets.UTF_8);
     }
 
     /** Asks all voters by turns until one gives an answer of its own. */
-    private TableAnswer ask(Function<VoterNode, CompletableFuture<TableAnswer>> question) {
-        List<TableAnswer> answers = new ArrayList<>();
+    private TableReply ask(Function<VoterNode, CompletableFuture<TableReply>> question) {
+        List<TableReply> answers = new ArrayList<>();
         Await.until(
                 "an answer",
                 LONGEST,
                 () -> {
                     for (VoterNode voter : mVoters) {
-                        TableAnswer answer = join(question.apply(voter));
+                        TableReply answer = join(question.apply(voter));
                         boolean own =
                                 answer != null
-                                        && !(answer instanceof TableAnswer.AskLeader)
-                                        && !(answer instanceof TableAnswer.Unavailable);
+                                        && !(answer instanceof TableReply.NotLeader)
+                                        && !(answer instanceof TableReply.Unavailable);
                         if (own) {
                             answers.add(answer);
                             return true;
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/VoterSite.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/VoterSite.java
@@ -73,11 +73,11 @@
                 folder(voter),
                 1,
                 Timing.defaults(),
-                new VoterConfig.Stages(
+                new VoterConfig.StageOrderConfig(
                         Duration.ofSeconds(3),
                         Duration.ofSeconds(1),
                         0.33,
-                        (order, held, statements) -> StageOrders.Result.REFUSED));
+                        (order, held, statements) -> StageOrderClient.Result.REFUSED));
     }
 
     Path folder(int voter) {
--- a/org.orchidmount.test/src/test/java/org/orchidmount/limits/LimitBookTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/limits/LocalLimitsTest.java
@@ -13,35 +13,35 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.orchidmount.limits.LimitBook.Limit;
+import org.orchidmount.limits.LocalLimits.Limit;
 import org.orchidmount.table.AccountRow;
 
-/** Tests {@link LimitBook} and {@link TokenBucketRetryBudget}. */
-class LimitBookTest {
+/** Tests {@link LocalLimits} and {@link TokenBucketRetryBudget}. */
+class LocalLimitsTest {
     private static final long SECOND = 1_000_000_000L;
 
     @Test
     void holdsAllLimitsOrNone() {
-        LimitBook book = new LimitBook();
+        LocalLimits limits = new LocalLimits();
         List<Limit> both = List.of(new Limit("account a", 2), new Limit("pool p", 1));
-        assertThat(book.tryHold(both)).isEmpty();
-        assertThat(book.tryHold(both)).isEqualTo(Optional.of(new Limit("pool p", 1)));
-        assertThat(book.running("account a")).isEqualTo(1);
-        book.release(both);
-        assertThat(book.all()).isEmpty();
+        assertThat(limits.tryHold(both)).isEmpty();
+        assertThat(limits.tryHold(both)).isEqualTo(Optional.of(new Limit("pool p", 1)));
+        assertThat(limits.running("account a")).isEqualTo(1);
+        limits.release(both);
+        assertThat(limits.all()).isEmpty();
     }
 
     @Test
     void rateAllowsOneSecondAtOnceAndTellsWhenToComeBack() {
-        LimitBook book = new LimitBook();
+        LocalLimits limits = new LocalLimits();
         AccountRow account = new AccountRow("a", "0".repeat(64), "c", 1, 0, 4);
         for (int i = 0; i < 4; i++) {
-            assertThat(book.takeRate(account, 0)).isEqualTo(0);
+            assertThat(limits.takeRate(account, 0)).isEqualTo(0);
         }
-        assertThat(book.takeRate(account, 0)).isEqualTo(250);
-        assertThat(book.takeRate(account, SECOND / 4)).isEqualTo(0);
-        assertThat(book.takeRate(account, SECOND / 4)).isEqualTo(250);
-        assertThat(book.takeRate(account, 100 * SECOND)).isEqualTo(0);
+        assertThat(limits.takeRate(account, 0)).isEqualTo(250);
+        assertThat(limits.takeRate(account, SECOND / 4)).isEqualTo(0);
+        assertThat(limits.takeRate(account, SECOND / 4)).isEqualTo(250);
+        assertThat(limits.takeRate(account, 100 * SECOND)).isEqualTo(0);
     }
 
     @ParameterizedTest
--- a/org.orchidmount.test/src/test/java/org/orchidmount/load/EngineLoadsTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/load/EngineLoadsTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.orchidmount.junit.ManualClock;
 import org.orchidmount.membership.Incarnation;
-import org.orchidmount.routing.EnginePace;
+import org.orchidmount.routing.EngineSpeed;
 import org.orchidmount.routing.MemoryForecast;
 
 /** Tests {@code EngineLoads} and {@code MemoryForecast}. */
@@ -26,7 +26,7 @@
     private static final long MEMORY = 90_000;
 
     /** Outputs grow by 1.3 tokens a millisecond from 150 ms on, for 3 s. */
-    private static final EnginePace PACE = new EnginePace(0.02, 0.04, 1.3, 150, 3_000);
+    private static final EngineSpeed SPEED = new EngineSpeed(0.02, 0.04, 1.3, 150, 3_000);
 
     private static final Incarnation OLD = Incarnation.startedAt("i-1", 10);
     private static final Incarnation NEW = Incarnation.startedAt("i-1", 11);
@@ -73,14 +73,14 @@
     @Test
     void aSlowEngineKeepsItsRunsInSight() {
         admitted(Duration.ZERO);
-        double before = mLoads.usedMemoryTokens("i-1", PACE);
+        double before = mLoads.usedMemoryTokens("i-1", SPEED);
         mClock.advance(Duration.ofSeconds(2));
         mLoads.update(run("i-1", "r-0").withGenerated(100));
         mLoads.update(run("i-1", "r-0"));
-        assertThat(mLoads.usedMemoryTokens("i-1", PACE)).isGreaterThan(before);
-        double others = mLoads.usedMemoryTokens("i-1", PACE);
+        assertThat(mLoads.usedMemoryTokens("i-1", SPEED)).isGreaterThan(before);
+        double others = mLoads.usedMemoryTokens("i-1", SPEED);
         mLoads.update(run("i-1", "r-0").asEnded());
-        assertThat(others - mLoads.usedMemoryTokens("i-1", PACE)).isWithin(1).of(PROMPT + 100);
+        assertThat(others - mLoads.usedMemoryTokens("i-1", SPEED)).isWithin(1).of(PROMPT + 100);
     }
 
     @Test
@@ -101,7 +101,7 @@
         }
         long borne = 0;
         for (int i = 0; i < most + 3; i++) {
-            borne += mLoads.keepsPlace(run("i-1", "r-" + i), MEMORY, PACE) ? 1 : 0;
+            borne += mLoads.keepsPlace(run("i-1", "r-" + i), MEMORY, SPEED) ? 1 : 0;
         }
         assertThat(borne).isEqualTo(most);
     }
@@ -111,8 +111,8 @@
         admitted(Duration.ZERO);
         mClock.advance(Duration.ofMillis(200));
         mLoads.update(run("i-1", "a-later"));
-        assertThat(mLoads.keepsPlace(run("i-1", "a-later"), MEMORY, PACE)).isFalse();
-        assertThat(mLoads.keepsPlace(run("i-1", "r-0"), MEMORY, PACE)).isTrue();
+        assertThat(mLoads.keepsPlace(run("i-1", "a-later"), MEMORY, SPEED)).isFalse();
+        assertThat(mLoads.keepsPlace(run("i-1", "r-0"), MEMORY, SPEED)).isTrue();
     }
 
     @ParameterizedTest
@@ -141,7 +141,7 @@
         assertThat(isCrowded("i-1")).isFalse();
         fill(OLD);
         assertThat(isCrowded("i-1")).isFalse();
-        assertThat(mLoads.usedMemoryTokens("i-1", PACE)).isEqualTo(0);
+        assertThat(mLoads.usedMemoryTokens("i-1", SPEED)).isEqualTo(0);
         fill(NEW);
         assertThat(isCrowded("i-1")).isTrue();
         mLoads.registered(NEW);
@@ -155,7 +155,7 @@
         fill(OLD);
         mLoads.update(run("i-1", "r-new").at(NEW));
         mLoads.registered(NEW);
-        assertThat(mLoads.usedMemoryTokens("i-1", PACE)).isEqualTo(PROMPT);
+        assertThat(mLoads.usedMemoryTokens("i-1", SPEED)).isEqualTo(PROMPT);
     }
 
     /** A start too far in the future is taken until it has left and is forgotten. */
@@ -165,8 +165,8 @@
         mLoads.registered(OLD);
         InFlightSequence run = run("i-1", "r-1").at(OLD);
         mLoads.update(run);
-        assertThat(mLoads.usedMemoryTokens("i-1", PACE)).isEqualTo(PROMPT);
-        assertThat(mLoads.keepsPlace(run, MEMORY, PACE)).isTrue();
+        assertThat(mLoads.usedMemoryTokens("i-1", SPEED)).isEqualTo(PROMPT);
+        assertThat(mLoads.keepsPlace(run, MEMORY, SPEED)).isTrue();
     }
 
     /** The prompts that the one before was given are not waited for. */
@@ -195,7 +195,7 @@
             mClock.advance(Duration.ofMillis(1_500));
         }
         mLoads.update(run("i-1", "r-later"));
-        assertThat(mLoads.usedMemoryTokens("i-1", PACE)).isEqualTo(PROMPT);
+        assertThat(mLoads.usedMemoryTokens("i-1", SPEED)).isEqualTo(PROMPT);
     }
 
     /** The first start that is stated is no proof that the engine has started again. */
@@ -206,16 +206,16 @@
         mLoads.registered(OLD);
         fill(unstated);
         assertThat(isCrowded("i-1")).isTrue();
-        assertThat(mLoads.keepsPlace(run("i-1", "r-0"), MEMORY, PACE)).isTrue();
+        assertThat(mLoads.keepsPlace(run("i-1", "r-0"), MEMORY, SPEED)).isTrue();
     }
 
     @Test
     void aRunWhoseEngineHasStartedAgainDoesNotKeepItsPlace() {
         InFlightSequence own = run("i-1", "r-own").at(OLD);
         mLoads.update(own);
-        assertThat(mLoads.keepsPlace(own, MEMORY, PACE)).isTrue();
+        assertThat(mLoads.keepsPlace(own, MEMORY, SPEED)).isTrue();
         mLoads.registered(NEW);
-        assertThat(mLoads.keepsPlace(own, MEMORY, PACE)).isFalse();
+        assertThat(mLoads.keepsPlace(own, MEMORY, SPEED)).isFalse();
     }
 
     /** Announces 40 runs, far more than an engine bears. */
@@ -238,7 +238,7 @@
     }
 
     private boolean isCrowded(String upstreamId) {
-        return mLoads.saturatedEngines(run("", "candidate"), MEMORY, PACE).contains(upstreamId);
+        return mLoads.saturatedEngines(run("", "candidate"), MEMORY, SPEED).contains(upstreamId);
     }
 
     private static InFlightSequence run(String upstreamId, String requestId) {
--- a/org.orchidmount.test/src/test/java/org/orchidmount/load/EngineMemoryPinTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/load/EngineMemoryPinTest.java
@@ -15,7 +15,7 @@
 import org.orchidmount.junit.ManualClock;
 import org.orchidmount.junit.Pin;
 import org.orchidmount.membership.Incarnation;
-import org.orchidmount.routing.EnginePaceEstimator;
+import org.orchidmount.routing.EngineSpeedEstimator;
 import org.orchidmount.routing.MemoryForecast;
 
 /** What is known of the memory of engines, and what follows, stays as it was. */
@@ -24,7 +24,7 @@
 
     private final ManualClock mClock = new ManualClock();
     private final EngineLoads mLoads = new EngineLoads(mClock);
-    private final EnginePaceEstimator mPace = new EnginePaceEstimator();
+    private final EngineSpeedEstimator mSpeed = new EngineSpeedEstimator();
 
     @Test
     void engineLoadsDecideAsTheyDid() {
@@ -50,13 +50,14 @@
             InFlightSequence run = begun.get(random.nextInt(begun.size()));
             mLoads.update(run.withGenerated(random.nextInt(3_000)));
         } else {
-            mPace.observeOutput(0.5 + random.nextDouble(), 1);
+            mSpeed.observeOutput(0.5 + random.nextDouble(), 1);
         }
         InFlightSequence newest = begun.isEmpty() ? run(random, number) : begun.getLast();
         return "crowded %s, newest borne %s, %s"
                 .formatted(
-                        new TreeSet<>(mLoads.saturatedEngines(run(random, -1), SIZE, mPace.pace())),
-                        mLoads.keepsPlace(newest, SIZE, mPace.pace()),
+                        new TreeSet<>(
+                                mLoads.saturatedEngines(run(random, -1), SIZE, mSpeed.speed())),
+                        mLoads.keepsPlace(newest, SIZE, mSpeed.speed()),
                         engines());
     }
 
@@ -69,7 +70,7 @@
                             Locale.ROOT,
                             "%s %.3f/%d ",
                             id,
-                            mLoads.usedMemoryTokens(id, mPace.pace()),
+                            mLoads.usedMemoryTokens(id, mSpeed.speed()),
                             mLoads.prefillBacklogTokens(id)));
         }
         return text.toString().strip();
--- a/org.orchidmount.test/src/test/java/org/orchidmount/pacing/SimulatedUpstream.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/pacing/SimulatedUpstream.java
@@ -15,10 +15,10 @@
 import org.orchidmount.junit.ManualClock;
 import org.orchidmount.membership.Incarnation;
 import org.orchidmount.quota.QuotaAnswer;
-import org.orchidmount.quota.QuotaAsk;
 import org.orchidmount.quota.QuotaLimit;
 import org.orchidmount.quota.QuotaOwner;
 import org.orchidmount.quota.QuotaOwnerClient;
+import org.orchidmount.quota.QuotaRequest;
 import org.orchidmount.quota.QuotaWay;
 import org.orchidmount.quota.SharedQuota;
 import org.orchidmount.quota.WindowSum;
@@ -42,7 +42,7 @@
     private final ManualClock mClock = new ManualClock();
     private final SplittableRandom mRandom;
     private final Plan mPlan;
-    private final List<UpstreamPace> mEntries = new ArrayList<>();
+    private final List<UpstreamThrottle> mEntries = new ArrayList<>();
     private final long[] mCutFromLeaderUntil;
     private final WindowSum mArrived = new WindowSum(WINDOW);
     private final List<QuotaOwner> mOwnBuckets = new ArrayList<>();
@@ -117,12 +117,12 @@
     }
 
     /** An entry knows the limit from its start on, as voters tell it. */
-    private UpstreamPace newEntry(int index) {
+    private UpstreamThrottle newEntry(int index) {
         UpstreamLimits limits = new UpstreamLimits("entry-" + index, mClock);
         OptionalDouble perSecond = OptionalDouble.of(mPlan.perSecond());
         limits.merge(List.of(new UpstreamLimit(UPSTREAM, perSecond, 1, "first")));
         boolean isAlone = mPlan.defect() == Defect.WHOLE_ALONE;
-        return new UpstreamPace(
+        return new UpstreamThrottle(
                 limits,
                 limit -> {},
                 new SharedQuota(new Client(index)),
@@ -140,20 +140,20 @@
         }
 
         @Override
-        public CompletableFuture<QuotaAnswer> askOwner(QuotaAsk ask) {
+        public CompletableFuture<QuotaAnswer> askOwner(QuotaRequest request) {
             mMessages += 2;
-            return CompletableFuture.completedFuture(answer(ask));
+            return CompletableFuture.completedFuture(answer(request));
         }
 
-        private QuotaAnswer answer(QuotaAsk ask) {
+        private QuotaAnswer answer(QuotaRequest request) {
             long nowNanos = mClock.nanoTime();
             boolean isReached =
                     mCutFromLeaderUntil[mEntry] <= nowNanos && mNoLeaderUntil <= nowNanos;
             if (isReached) {
-                return mLeader.ask(ask, nowNanos);
+                return mLeader.ask(request, nowNanos);
             }
             return mPlan.defect() == Defect.NO_LEASE
-                    ? mFormerLeader.ask(ask, nowNanos)
+                    ? mFormerLeader.ask(request, nowNanos)
                     : QuotaAnswer.NO_OWNER;
         }
 
@@ -205,7 +205,7 @@
             case EACH ->
                     mOwnBuckets
                             .get(entry)
-                            .ask(new QuotaAsk("u", mLimit, 1, 1), nowNanos)
+                            .ask(new QuotaRequest("u", mLimit, 1, 1), nowNanos)
                             .isGranted();
             default -> mShares.take(entry, 1, nowNanos);
         };
--- a/org.orchidmount.test/src/test/java/org/orchidmount/pacing/UpstreamPausesTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/pacing/UpstreamPausesTest.java
@@ -20,8 +20,8 @@
 import org.orchidmount.membership.Registration.Stage;
 import org.orchidmount.membership.Registration.State;
 import org.orchidmount.quota.QuotaAnswer;
-import org.orchidmount.quota.QuotaAsk;
 import org.orchidmount.quota.QuotaOwnerClient;
+import org.orchidmount.quota.QuotaRequest;
 import org.orchidmount.quota.SharedQuota;
 
 /** Guards against work for upstreams that have asked for a pause, and against pauses cut short. */
@@ -32,8 +32,8 @@
     private static final Duration PATIENCE = Duration.ofSeconds(30);
 
     private final ManualClock mClock = new ManualClock();
-    private final UpstreamPace mPace =
-            new UpstreamPace(
+    private final UpstreamThrottle mThrottle =
+            new UpstreamThrottle(
                     new UpstreamLimits("here", mClock),
                     limit -> {},
                     new SharedQuota(new NoOwner()),
@@ -44,8 +44,8 @@
     /** No limit is stated here, so nobody is asked. */
     private static final class NoOwner implements QuotaOwnerClient {
         @Override
-        public CompletableFuture<QuotaAnswer> askOwner(QuotaAsk ask) {
-            throw new AssertionError("asked for " + ask);
+        public CompletableFuture<QuotaAnswer> askOwner(QuotaRequest request) {
+            throw new AssertionError("asked for " + request);
         }
 
         @Override
@@ -56,7 +56,7 @@
 
     private void states(Incarnation upstream, PauseStatement pause) {
         UpstreamStatement stated = new UpstreamStatement(LimitStatement.NONE, pause, false);
-        mPace.observe(upstream, stated, false, mClock.nanoTime());
+        mThrottle.observe(upstream, stated, false, mClock.nanoTime());
     }
 
     private static PauseStatement seconds(double seconds) {
@@ -80,13 +80,13 @@
         states(UPSTREAM, PauseStatement.NONE);
         states(UPSTREAM, new PauseStatement.Unreadable("soon"));
         mClock.advance(Duration.ofMillis((long) (1_000 * (end - again)) - 1));
-        assertThat(mPace.passedOver()).containsExactly("i-1");
-        assertThat(mPace.take(UPSTREAM, TARGET).isGranted()).isFalse();
-        assertThat(mPace.refusedBy(UPSTREAM)).isTrue();
+        assertThat(mThrottle.passedOver()).containsExactly("i-1");
+        assertThat(mThrottle.take(UPSTREAM, TARGET).isGranted()).isFalse();
+        assertThat(mThrottle.refusedBy(UPSTREAM)).isTrue();
         mClock.advance(Duration.ofMillis(1));
-        assertThat(mPace.passedOver()).isEmpty();
-        assertThat(mPace.take(UPSTREAM, TARGET).isGranted()).isTrue();
-        assertThat(mPace.refusedBy(UPSTREAM)).isFalse();
+        assertThat(mThrottle.passedOver()).isEmpty();
+        assertThat(mThrottle.take(UPSTREAM, TARGET).isGranted()).isTrue();
+        assertThat(mThrottle.refusedBy(UPSTREAM)).isFalse();
     }
 
     @ParameterizedTest
@@ -101,10 +101,10 @@
     void aPauseEndsWithItsIncarnation(long start, State state, boolean goesOn) {
         states(UPSTREAM, seconds(60));
         Incarnation registers = Incarnation.startedAt("i-1", start);
-        mPace.registered(
+        mThrottle.registered(
                 new Registration(registers, "s", "10.0.0.1:80", "a", 1, Stage.NONE, state, 9));
-        assertThat(mPace.isPaused(UPSTREAM)).isEqualTo(goesOn);
-        assertThat(mPace.isPaused(Incarnation.startedAt("i-1", 6))).isFalse();
+        assertThat(mThrottle.isPaused(UPSTREAM)).isEqualTo(goesOn);
+        assertThat(mThrottle.isPaused(Incarnation.startedAt("i-1", 6))).isFalse();
     }
 
     /** Guards against callers that come back to a pause, or all at once after it. */
@@ -113,8 +113,9 @@
         states(UPSTREAM, seconds(20));
         states(OTHER, seconds(10));
         List<Incarnation> both = List.of(UPSTREAM, OTHER);
-        assertThat(mPace.comeBackAfter("s", both, 5, PATIENCE)).isEqualTo(Duration.ofSeconds(10));
-        assertThat(mPace.comeBackAfter("s", both, 5, PATIENCE))
+        assertThat(mThrottle.comeBackAfter("s", both, 5, PATIENCE))
+                .isEqualTo(Duration.ofSeconds(10));
+        assertThat(mThrottle.comeBackAfter("s", both, 5, PATIENCE))
                 .isEqualTo(Duration.ofMillis(10_100));
     }
 }
--- a/org.orchidmount.test/src/test/java/org/orchidmount/pacing/UpstreamPaceTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/pacing/UpstreamThrottleTest.java
@@ -21,13 +21,13 @@
 import org.orchidmount.membership.Incarnation;
 import org.orchidmount.membership.Registration;
 import org.orchidmount.quota.QuotaAnswer;
-import org.orchidmount.quota.QuotaAsk;
 import org.orchidmount.quota.QuotaOwner;
 import org.orchidmount.quota.QuotaOwnerClient;
+import org.orchidmount.quota.QuotaRequest;
 import org.orchidmount.quota.SharedQuota;
 
 /** What one instance sends to upstreams that state limits. */
-final class UpstreamPaceTest {
+final class UpstreamThrottleTest {
     private static final Incarnation UPSTREAM = Incarnation.startedAt("i-1", 1);
     private static final Incarnation OTHER = Incarnation.startedAt("i-2", 1);
     private static final Duration TARGET = Duration.ofMillis(400);
@@ -38,8 +38,8 @@
     private final UpstreamLimits mLimits = new UpstreamLimits("here", mClock);
     private final Owner mOwner = new Owner();
     private final List<UpstreamLimit> mAnnounced = new ArrayList<>();
-    private final UpstreamPace mPace =
-            new UpstreamPace(
+    private final UpstreamThrottle mThrottle =
+            new UpstreamThrottle(
                     mLimits,
                     mAnnounced::add,
                     new SharedQuota(mOwner),
@@ -54,10 +54,10 @@
         private int mAsked;
 
         @Override
-        public CompletableFuture<QuotaAnswer> askOwner(QuotaAsk ask) {
+        public CompletableFuture<QuotaAnswer> askOwner(QuotaRequest request) {
             mAsked++;
             return CompletableFuture.completedFuture(
-                    mIsSilent ? QuotaAnswer.NO_OWNER : mBuckets.ask(ask, mClock.nanoTime()));
+                    mIsSilent ? QuotaAnswer.NO_OWNER : mBuckets.ask(request, mClock.nanoTime()));
         }
 
         @Override
@@ -68,7 +68,7 @@
 
     private void observe(Incarnation upstream, LimitStatement limit, boolean hasServed) {
         UpstreamStatement stated = new UpstreamStatement(limit, PauseStatement.NONE, false);
-        mPace.observe(upstream, stated, hasServed, mClock.nanoTime());
+        mThrottle.observe(upstream, stated, hasServed, mClock.nanoTime());
     }
 
     private void names(Incarnation upstream, double perSecond) {
@@ -77,7 +77,7 @@
     }
 
     private boolean take() throws InterruptedException {
-        return mPace.take(UPSTREAM, TARGET).isGranted();
+        return mThrottle.take(UPSTREAM, TARGET).isGranted();
     }
 
     /** Takes what there is now. */
@@ -96,7 +96,7 @@
             assertThat(take()).isTrue();
         }
         assertThat(mOwner.mAsked).isEqualTo(0);
-        assertThat(mPace.passedOver()).isEmpty();
+        assertThat(mThrottle.passedOver()).isEmpty();
     }
 
     @Test
@@ -104,21 +104,21 @@
         names(UPSTREAM, 4);
         takeAll();
         int asked = mOwner.mAsked;
-        assertThat(mPace.passedOver()).containsExactly("i-1");
+        assertThat(mThrottle.passedOver()).containsExactly("i-1");
         assertThat(take()).isFalse();
         assertThat(mOwner.mAsked).isEqualTo(asked);
         mClock.advance(Duration.ofMillis(600));
-        assertThat(mPace.passedOver()).isEmpty();
+        assertThat(mThrottle.passedOver()).isEmpty();
         assertThat(take()).isTrue();
     }
 
     @Test
     void whatWasNotSentIsGivenBack() throws InterruptedException {
         names(UPSTREAM, 4);
-        SendPermit permit = mPace.take(UPSTREAM, TARGET);
+        SendPermit permit = mThrottle.take(UPSTREAM, TARGET);
         takeAll();
-        mPace.giveBack(permit);
-        mPace.giveBack(SendPermit.FREE);
+        mThrottle.giveBack(permit);
+        mThrottle.giveBack(SendPermit.FREE);
         names(UPSTREAM, 8);
         assertThat(takeAll()).isAtLeast(1);
     }
@@ -141,7 +141,7 @@
         names(UPSTREAM, 1);
         takeAll();
         names(UPSTREAM, 50);
-        assertThat(mPace.passedOver()).isEmpty();
+        assertThat(mThrottle.passedOver()).isEmpty();
         mClock.advance(Duration.ofMillis(100));
         assertThat(take()).isTrue();
         observe(UPSTREAM, LimitStatement.NONE, true);
@@ -155,13 +155,13 @@
     void aChangeThatAnotherInstanceTellsCountsAtOnce(double perSecond) throws InterruptedException {
         names(UPSTREAM, 0.25);
         takeAll();
-        assertThat(mPace.passedOver()).containsExactly("i-1");
+        assertThat(mThrottle.passedOver()).containsExactly("i-1");
         OptionalDouble told =
                 Double.isInfinite(perSecond)
                         ? OptionalDouble.empty()
                         : OptionalDouble.of(perSecond);
         mLimits.merge(List.of(new UpstreamLimit(UPSTREAM, told, 2, "there")));
-        assertThat(mPace.passedOver()).isEmpty();
+        assertThat(mThrottle.passedOver()).isEmpty();
         mClock.advance(Duration.ofMillis(100));
         assertThat(take()).isTrue();
     }
@@ -173,7 +173,7 @@
         mClock.advance(Duration.ofMillis(1));
         observe(UPSTREAM, new LimitStatement.Unreadable(text), true);
         assertThat(mLimits.find(UPSTREAM).orElseThrow().perSecond().getAsDouble()).isEqualTo(2.0);
-        assertThat(mPace.toString()).contains("1 limits unreadable");
+        assertThat(mThrottle.toString()).contains("1 limits unreadable");
     }
 
     /** A reservation, a refusal or an error may state none while the upstream is in need. */
@@ -218,8 +218,8 @@
     @Test
     void oneThatRefusesHasNoRoom() throws InterruptedException {
         names(UPSTREAM, 4);
-        assertThat(mPace.refusedBy(OTHER)).isFalse();
-        assertThat(mPace.refusedBy(UPSTREAM)).isTrue();
+        assertThat(mThrottle.refusedBy(OTHER)).isFalse();
+        assertThat(mThrottle.refusedBy(UPSTREAM)).isTrue();
         assertThat(take()).isFalse();
         mClock.advance(Duration.ofMillis(251));
         assertThat(take()).isTrue();
@@ -230,7 +230,7 @@
         names(UPSTREAM, 1);
         takeAll();
         Incarnation next = Incarnation.startedAt("i-1", 2);
-        mPace.registered(
+        mThrottle.registered(
                 new Registration(
                         next,
                         "s",
@@ -240,9 +240,9 @@
                         Registration.Stage.NONE,
                         Registration.State.READY,
                         1));
-        assertThat(mPace.passedOver()).isEmpty();
+        assertThat(mThrottle.passedOver()).isEmpty();
         assertThat(mLimits.isEmpty()).isTrue();
-        assertThat(mPace.take(next, TARGET).isGranted()).isTrue();
+        assertThat(mThrottle.take(next, TARGET).isGranted()).isTrue();
     }
 
     /**
@@ -254,9 +254,9 @@
         names(OTHER, 3);
         takeAll();
         List<Incarnation> both = List.of(UPSTREAM, OTHER);
-        Duration first = mPace.comeBackAfter("s", both, 0, PATIENCE);
-        Duration second = mPace.comeBackAfter("s", both, 0, PATIENCE);
-        Duration third = mPace.comeBackAfter("s", both, 0, PATIENCE);
+        Duration first = mThrottle.comeBackAfter("s", both, 0, PATIENCE);
+        Duration second = mThrottle.comeBackAfter("s", both, 0, PATIENCE);
+        Duration third = mThrottle.comeBackAfter("s", both, 0, PATIENCE);
         assertThat(second.minus(first)).isEqualTo(Duration.ofSeconds(1));
         assertThat(third.minus(second)).isEqualTo(Duration.ofSeconds(1));
     }
@@ -267,10 +267,10 @@
     void onlyThoseWhoCanWaitTakePlacesInTheQueue(int refused, int seconds) {
         names(UPSTREAM, 4);
         for (int i = 0; i < refused; i++) {
-            mPace.comeBackAfter("s", List.of(UPSTREAM), 0, PATIENCE);
+            mThrottle.comeBackAfter("s", List.of(UPSTREAM), 0, PATIENCE);
         }
         mClock.advance(Duration.ofSeconds(seconds));
-        assertThat(mPace.comeBackAfter("s", List.of(UPSTREAM), 0, PATIENCE))
+        assertThat(mThrottle.comeBackAfter("s", List.of(UPSTREAM), 0, PATIENCE))
                 .isAtMost(Duration.ofSeconds(2));
     }
 }
--- a/org.orchidmount.test/src/test/java/org/orchidmount/quarantine/CrashReportsTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/quarantine/CrashReportsTest.java
@@ -40,7 +40,7 @@
                     mAnnounced::add,
                     peer -> mFinding,
                     (peer, longest) -> mEnds,
-                    SharedTurns.ALONE,
+                    RunLock.UNCOORDINATED,
                     mClock);
 
     /** How a call to an upstream may fail. */
--- a/org.orchidmount.test/src/test/java/org/orchidmount/quarantine/PacedTurnsTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/quarantine/QuotaRunLockTest.java
@@ -14,20 +14,20 @@
 import org.junit.jupiter.api.Test;
 import org.orchidmount.junit.ManualClock;
 import org.orchidmount.quota.QuotaAnswer;
-import org.orchidmount.quota.QuotaAsk;
 import org.orchidmount.quota.QuotaOwner;
 import org.orchidmount.quota.QuotaOwnerClient;
+import org.orchidmount.quota.QuotaRequest;
 import org.orchidmount.quota.SharedQuota;
 
-/** Turns of two instances that ask one owner. */
-final class PacedTurnsTest {
+/** Run locks of two instances that ask one owner. */
+final class QuotaRunLockTest {
     private static final RequestFingerprint REQUEST = Fingerprints.of("a");
     private static final RequestFingerprint OTHER = Fingerprints.of("b");
 
     private final ManualClock mClock = new ManualClock();
     private final Owner mOwner = new Owner();
-    private final PacedTurns mOne = new PacedTurns(new SharedQuota(mOwner));
-    private final PacedTurns mTwo = new PacedTurns(new SharedQuota(mOwner));
+    private final QuotaRunLock mOne = new QuotaRunLock(new SharedQuota(mOwner));
+    private final QuotaRunLock mTwo = new QuotaRunLock(new SharedQuota(mOwner));
 
     private final class Owner implements QuotaOwnerClient {
         private final QuotaOwner mBuckets = new QuotaOwner();
@@ -35,9 +35,9 @@
         private long mAnswersAfterMillis;
 
         @Override
-        public CompletableFuture<QuotaAnswer> askOwner(QuotaAsk ask) {
+        public CompletableFuture<QuotaAnswer> askOwner(QuotaRequest request) {
             QuotaAnswer answer =
-                    mIsSilent ? QuotaAnswer.NO_OWNER : mBuckets.ask(ask, mClock.nanoTime());
+                    mIsSilent ? QuotaAnswer.NO_OWNER : mBuckets.ask(request, mClock.nanoTime());
             return mAnswersAfterMillis == 0
                     ? CompletableFuture.completedFuture(answer)
                     : new CompletableFuture<QuotaAnswer>()
@@ -61,25 +61,25 @@
         assertThat(mOne.tryTake(REQUEST)).isTrue();
         assertThat(mTwo.tryTake(REQUEST)).isFalse();
         assertThat(mTwo.tryTake(OTHER)).isTrue();
-        mOne.end(REQUEST);
+        mOne.release(REQUEST);
         assertThat(mTwo.tryTake(REQUEST)).isTrue();
         assertThat(mOne.tryTake(REQUEST)).isFalse();
     }
 
-    /** An instance that ends with its turn holds up nobody for long. */
+    /** An instance that ends with its run lock holds up nobody for long. */
     @Test
     void aTurnThatIsNotEndedComesBackByItself() {
         assertThat(mOne.tryTake(REQUEST)).isTrue();
         mClock.advance(Duration.ofMillis(1_001));
         assertThat(mTwo.tryTake(REQUEST)).isTrue();
-        mOne.end(REQUEST);
-        mOne.end(REQUEST);
+        mOne.release(REQUEST);
+        mOne.release(REQUEST);
     }
 
     @Test
     void onlyATurnThatWasTakenIsEnded() {
         assertThat(mOne.tryTake(REQUEST)).isTrue();
-        mTwo.end(REQUEST);
+        mTwo.release(REQUEST);
         assertThat(mTwo.tryTake(REQUEST)).isFalse();
     }
 
@@ -96,6 +96,6 @@
         mOwner.mIsSilent = true;
         assertThat(mOne.tryTake(REQUEST)).isTrue();
         assertThat(mTwo.tryTake(REQUEST)).isTrue();
-        mOne.end(REQUEST);
+        mOne.release(REQUEST);
     }
 }
--- a/org.orchidmount.test/src/test/java/org/orchidmount/quarantine/RunGuardTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/quarantine/RunGuardTest.java
@@ -23,7 +23,7 @@
                     record -> {},
                     new ConnectProbe(),
                     (peer, longest) -> false,
-                    SharedTurns.ALONE,
+                    RunLock.UNCOORDINATED,
                     mClock);
     private final AtomicInteger mFingerprints = new AtomicInteger();
 
--- a/org.orchidmount.test/src/test/java/org/orchidmount/quota/HotAccountTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/quota/HotAccountTest.java
@@ -72,8 +72,8 @@
                             : hot + (int) (drawn - hotWeight);
             int units = SIZES[random.nextInt(SIZES.length)];
             asked[account] += units;
-            QuotaAsk ask = new QuotaAsk("account-" + account, LIMIT, 1, units);
-            granted[account] += owner.ask(ask, nowNanos).isGranted() ? units : 0;
+            QuotaRequest request = new QuotaRequest("account-" + account, LIMIT, 1, units);
+            granted[account] += owner.ask(request, nowNanos).isGranted() ? units : 0;
         }
     }
 }
--- a/org.orchidmount.test/src/test/java/org/orchidmount/quota/QuotaOwnerTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/quota/QuotaOwnerTest.java
@@ -29,7 +29,7 @@
     private final QuotaOwner mOwner = new QuotaOwner();
 
     private QuotaAnswer ask(long units, long nowNanos) {
-        return mOwner.ask(new QuotaAsk("a", LIMIT, 1, units), nowNanos);
+        return mOwner.ask(new QuotaRequest("a", LIMIT, 1, units), nowNanos);
     }
 
     @Test
@@ -138,7 +138,7 @@
     void theNewestTableCountsAlsoForInstancesThatAreBehind() {
         mOwner.hold(1, 0, 0);
         QuotaLimit lower = new QuotaLimit(100, 200, 2_000, WINDOW);
-        mOwner.ask(new QuotaAsk("a", lower, 2, 200), START);
+        mOwner.ask(new QuotaRequest("a", lower, 2, 200), START);
         assertThat(ask(1, START + SECOND / 1_000).isGranted()).isTrue();
         assertThat(ask(1, START + SECOND / 1_000).isGranted()).isFalse();
         assertThat(ask(150, START + 2 * SECOND).isGranted()).isTrue();
@@ -150,7 +150,7 @@
     void onlyKeysThatWereRefusedAreReported() {
         mOwner.hold(1, 0, 0);
         ask(2_000, START);
-        mOwner.ask(new QuotaAsk("b", LIMIT, 1, 5), START);
+        mOwner.ask(new QuotaRequest("b", LIMIT, 1, 5), START);
         assertThat(mOwner.takeUses()).isEmpty();
         ask(7, START);
         assertThat(mOwner.takeUses()).containsExactly(new QuotaUse("a", LIMIT, 1, 0, 0, 1));
@@ -163,7 +163,7 @@
         mOwner.hold(1, 0, 0);
         ask(2_000, START);
         for (int i = 0; i < 10_000; i++) {
-            mOwner.ask(new QuotaAsk("k" + i, LIMIT, 1, 1), START + 60 * SECOND);
+            mOwner.ask(new QuotaRequest("k" + i, LIMIT, 1, 1), START + 60 * SECOND);
         }
         assertThat(ask(2_000, START + 60 * SECOND).isGranted()).isTrue();
         assertThat(ask(1, START + 60 * SECOND).isGranted()).isFalse();
--- a/org.orchidmount.test/src/test/java/org/orchidmount/quota/QuotaReserveTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/quota/QuotaReserveTest.java
@@ -22,7 +22,7 @@
 
     private static long takeAll(QuotaReserve reserve, String key, long nowNanos) {
         long taken = 0;
-        while (reserve.ask(new QuotaAsk(key, LIMIT, 1, 10), VOTERS, nowNanos).isGranted()) {
+        while (reserve.ask(new QuotaRequest(key, LIMIT, 1, 10), VOTERS, nowNanos).isGranted()) {
             taken += 10;
         }
         return taken;
--- a/org.orchidmount.test/src/test/java/org/orchidmount/quota/QuotaWay.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/quota/QuotaWay.java
@@ -32,7 +32,7 @@
         @Override
         public boolean take(int instance, long units, long nowNanos) {
             mMessages += 2;
-            return mOwner.ask(new QuotaAsk("a", mLimit, 1, units), nowNanos).isGranted();
+            return mOwner.ask(new QuotaRequest("a", mLimit, 1, units), nowNanos).isGranted();
         }
 
         @Override
--- a/org.orchidmount.test/src/test/java/org/orchidmount/quota/SimulatedSite.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/quota/SimulatedSite.java
@@ -113,34 +113,34 @@
         if (mCutFromAllUntil[entry] > nowNanos) {
             return;
         }
-        QuotaAsk ask = new QuotaAsk("a", LIMIT, 1, units);
+        QuotaRequest request = new QuotaRequest("a", LIMIT, 1, units);
         boolean reaches = mCutFromLeaderUntil[entry] <= nowNanos && mNoLeaderUntil <= nowNanos;
         boolean isTaken =
-                reaches ? askLeader(ask, nowNanos) : askWithoutLease(entry, ask, nowNanos);
+                reaches ? askLeader(request, nowNanos) : askWithoutLease(entry, request, nowNanos);
         if (isTaken) {
             mRun.add(units, nowNanos);
         }
     }
 
-    private boolean askLeader(QuotaAsk ask, long nowNanos) {
+    private boolean askLeader(QuotaRequest request, long nowNanos) {
         Voter leader = mVoters.get(mLeader);
         leader.mLeases.see(mTerm, nowNanos);
         boolean isFull = mFault == Fault.FULL_BUCKETS;
         long formerNanos = isFull ? -SCHEDULE_NANOS : leader.mLeases.formerNanos();
         leader.mOwner.hold(mTerm, formerNanos, isFull ? -SCHEDULE_NANOS / 3 : nowNanos);
-        return leader.mOwner.ask(ask, nowNanos).isGranted();
+        return leader.mOwner.ask(request, nowNanos).isGranted();
     }
 
-    private boolean askWithoutLease(int entry, QuotaAsk ask, long nowNanos) {
+    private boolean askWithoutLease(int entry, QuotaRequest request, long nowNanos) {
         boolean formerAnswers = mFault == Fault.NO_LEASE && mFormerLeadsUntil > nowNanos;
         if (formerAnswers) {
-            return mVoters.get(mFormerLeader).mOwner.ask(ask, nowNanos).isGranted();
+            return mVoters.get(mFormerLeader).mOwner.ask(request, nowNanos).isGranted();
         }
         int asked = entry % VOTERS;
         boolean isLeader = asked == mLeader && mNoLeaderUntil <= nowNanos;
         Voter voter = mVoters.get(isLeader ? (asked + 1) % VOTERS : asked);
         int counted = mFault == Fault.WHOLE_RESERVES ? 1 : VOTERS;
-        return voter.mReserve.ask(ask, counted, nowNanos).isGranted();
+        return voter.mReserve.ask(request, counted, nowNanos).isGranted();
     }
 
     private void strike(long nowNanos) {
--- a/org.orchidmount.test/src/test/java/org/orchidmount/relay/RelayRulesPinTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/relay/RelayRulesPinTest.java
@@ -159,7 +159,8 @@
         for (int i = 0; i < 200; i++) {
             int expected = random.nextInt(5) == 0 ? 0 : random.nextInt(6_000);
             int most = random.nextInt(5) == 0 ? 0 : 50 + random.nextInt(8_000);
-            OutputLengthEstimator.Stated stated = new OutputLengthEstimator.Stated(expected, most);
+            OutputLengthEstimator.StatedLength stated =
+                    new OutputLengthEstimator.StatedLength(expected, most);
             lengths.observe(stated);
             int needed = lengths.expect(stated) + random.nextInt(9_000);
             lines.add(
--- a/org.orchidmount.test/src/test/java/org/orchidmount/routing/EngineScaleTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/routing/EngineScaleTest.java
@@ -31,46 +31,46 @@
     @ParameterizedTest
     @CsvSource({"0.25, 1", "0.5, 4", "2, 0.25", "4, 0.5", "4, 4", "1, 0.25"})
     void rulesDecideAlikeAtAnySpeedAndMemory(double time, double memory) {
-        assertThat(decisions(new LearnedPace(time, memory))).isEqualTo(reference());
+        assertThat(decisions(new LearnedSpeed(time, memory))).isEqualTo(reference());
     }
 
     /** Shows that the comparison notices a figure that does not follow the engines. */
     @Test
     void aPresetSpeedIsNoticed() {
-        PaceSource preset =
-                new PaceSource(4, 1, (time, memory) -> new EnginePaceEstimator().pace());
+        SpeedSource preset =
+                new SpeedSource(4, 1, (time, memory) -> new EngineSpeedEstimator().speed());
         assertThat(decisions(preset)).isNotEqualTo(reference());
     }
 
     private static List<String> reference() {
-        return decisions(new LearnedPace(1, 1));
+        return decisions(new LearnedSpeed(1, 1));
     }
 
-    /** Supplies the pace of engines that are {@code time} times as slow, from observations. */
-    private static class PaceSource {
+    /** Supplies the speed of engines that are {@code time} times as slow, from observations. */
+    private static class SpeedSource {
         private final double mTime;
         private final double mMemory;
-        private final EnginePace mPace;
+        private final EngineSpeed mSpeed;
 
-        PaceSource(double time, double memory, Pace pace) {
+        SpeedSource(double time, double memory, Speed speed) {
             mTime = time;
             mMemory = memory;
-            mPace = pace.of(time, memory);
+            mSpeed = speed.of(time, memory);
         }
     }
 
     @FunctionalInterface
-    private interface Pace {
-        EnginePace of(double time, double memory);
+    private interface Speed {
+        EngineSpeed of(double time, double memory);
     }
 
-    private static final class LearnedPace extends PaceSource {
-        LearnedPace(double time, double memory) {
-            super(time, memory, LearnedPace::learn);
+    private static final class LearnedSpeed extends SpeedSource {
+        LearnedSpeed(double time, double memory) {
+            super(time, memory, LearnedSpeed::learn);
         }
 
-        private static EnginePace learn(double time, double memory) {
-            EnginePaceEstimator estimator = new EnginePaceEstimator();
+        private static EngineSpeed learn(double time, double memory) {
+            EngineSpeedEstimator estimator = new EngineSpeedEstimator();
             SplittableRandom random = new SplittableRandom(5);
             for (int i = 0; i < 400; i++) {
                 double noise = 0.7 + 0.6 * random.nextDouble();
@@ -81,14 +81,14 @@
                 estimator.observeFirstToken(250 * time * noise);
                 estimator.observeOutput(600 * memory, 3_300 * time * noise);
             }
-            return estimator.pace();
+            return estimator.speed();
         }
     }
 
-    private static List<String> decisions(PaceSource source) {
+    private static List<String> decisions(SpeedSource source) {
         double time = source.mTime;
         double memory = source.mMemory;
-        EnginePace pace = source.mPace;
+        EngineSpeed speed = source.mSpeed;
         SplittableRandom random = new SplittableRandom(17);
         List<String> lines = new ArrayList<>();
         for (int i = 0; i < CASES; i++) {
@@ -98,20 +98,20 @@
             double share = random.nextDouble();
             double targetMillis = TARGET_MILLIS * time;
             Duration target = Duration.ofNanos((long) (targetMillis * 1e6));
-            double queueMillis = pace.prefillEngineMillis(prompt + queue);
-            double ownMillis = pace.prefillEngineMillis(prompt);
+            double queueMillis = speed.prefillEngineMillis(prompt + queue);
+            double ownMillis = speed.prefillEngineMillis(prompt);
             OptionalDouble expectedMillis = OptionalDouble.of(queueMillis);
             lines.add(PrefillRule.choose(expectedMillis, ownMillis, targetMillis).name());
-            double idleMillis = pace.decodeEngineMillis(prompt);
+            double idleMillis = speed.decodeEngineMillis(prompt);
             boolean isIdle = PrefillRule.isNearlyIdle(idleMillis, share, 0, PAUSE_MILLIS * time);
             lines.add("idle " + isIdle);
             lines.add("fits " + fits(random, memory));
-            double workMillis = pace.requestMillis(prompt);
+            double workMillis = speed.requestMillis(prompt);
             lines.add(rounded("full", UpstreamCost.memoryMillis(share, workMillis) / workMillis));
             Duration left = target.multipliedBy(15);
             Duration silence = PrefillTimeoutRule.silenceLimit(queueMillis, target, left);
             lines.add(shareOf("silent", silence, target));
-            Duration back = RetryAfter.engines(pace, new SplittableRandom(i));
+            Duration back = RetryAfter.engines(speed, new SplittableRandom(i));
             lines.add(shareOf("back", back, target));
             Duration wait = MemoryWaitRule.forNewRequest(2 * share, target);
             lines.add(shareOf("wait", wait, target));
--- a/org.orchidmount.test/src/test/java/org/orchidmount/routing/EnginePaceEstimatorTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/routing/EngineSpeedEstimatorTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Tests {@code EnginePaceEstimator}. */
-final class EnginePaceEstimatorTest {
-    private final EnginePaceEstimator mEstimator = new EnginePaceEstimator();
+/** Tests {@code EngineSpeedEstimator}. */
+final class EngineSpeedEstimatorTest {
+    private final EngineSpeedEstimator mEstimator = new EngineSpeedEstimator();
 
     @ParameterizedTest
     @ValueSource(doubles = {5, 20, 100})
@@ -21,17 +21,17 @@
         for (int i = 0; i < 12; i++) {
             mEstimator.observePrefill(1_000, tookMillis);
         }
-        EnginePace pace = mEstimator.pace();
-        assertThat(pace.prefillEngineMillis(1_000)).isWithin(0.4 * tookMillis).of(tookMillis);
-        double decodeMillis = pace.decodeEngineMillis(1_000);
+        EngineSpeed speed = mEstimator.speed();
+        assertThat(speed.prefillEngineMillis(1_000)).isWithin(0.4 * tookMillis).of(tookMillis);
+        double decodeMillis = speed.decodeEngineMillis(1_000);
         assertThat(decodeMillis).isWithin(0.4 * 2 * tookMillis).of(2 * tookMillis);
     }
 
     /** After a start the queues of others are not known, so one slow prefill says little. */
     @Test
-    void oneLongQueueAfterTheStartIsNotTakenForThePace() {
+    void oneLongQueueAfterTheStartIsNotTakenForTheSpeed() {
         mEstimator.observePrefill(1_000, 1_500);
-        assertThat(mEstimator.pace().prefillEngineMillis(1_000)).isLessThan(45.0);
+        assertThat(mEstimator.speed().prefillEngineMillis(1_000)).isLessThan(45.0);
     }
 
     @Test
@@ -39,7 +39,7 @@
         for (int i = 0; i < 200; i++) {
             mEstimator.observePrefill(1_000, i % 10 == 0 ? 900 : 100);
         }
-        assertThat(mEstimator.pace().prefillEngineMillis(1_000)).isWithin(20).of(107);
+        assertThat(mEstimator.speed().prefillEngineMillis(1_000)).isWithin(20).of(107);
     }
 
     @Test
@@ -50,15 +50,15 @@
         for (int i = 0; i < 60; i++) {
             mEstimator.observeOutput(600, 9_000);
         }
-        assertThat(mEstimator.pace().outputMillis()).isWithin(400).of(9_000);
+        assertThat(mEstimator.speed().outputMillis()).isWithin(400).of(9_000);
     }
 
     @Test
     void whatCannotBeMeasuredIsLeftOut() {
-        EnginePace before = mEstimator.pace();
+        EngineSpeed before = mEstimator.speed();
         mEstimator.observePrefill(0, 100);
         mEstimator.observePrefill(100, 0);
         mEstimator.observeOutput(9, 0);
-        assertThat(mEstimator.pace()).isEqualTo(before);
+        assertThat(mEstimator.speed()).isEqualTo(before);
     }
 }
--- a/org.orchidmount.test/src/test/java/org/orchidmount/routing/OutputLengthEstimatorTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/routing/OutputLengthEstimatorTest.java
@@ -48,7 +48,7 @@
                 / (double) target.toNanos();
     }
 
-    private static OutputLengthEstimator.Stated stated(int expected, int most) {
-        return new OutputLengthEstimator.Stated(expected, most);
+    private static OutputLengthEstimator.StatedLength stated(int expected, int most) {
+        return new OutputLengthEstimator.StatedLength(expected, most);
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/ClusterCodec.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/ClusterCodec.java
@@ -25,7 +25,7 @@
 import org.orchidmount.cluster.ClusterMessage.InFlightSequences;
 import org.orchidmount.cluster.ClusterMessage.KeepAlive;
 import org.orchidmount.cluster.ClusterMessage.QuotaReply;
-import org.orchidmount.cluster.ClusterMessage.QuotaRequest;
+import org.orchidmount.cluster.ClusterMessage.QuotaRequestMessage;
 import org.orchidmount.cluster.ClusterMessage.QuotaReturn;
 import org.orchidmount.cluster.ClusterMessage.Registrations;
 import org.orchidmount.cluster.ClusterMessage.RegistrationsAck;
@@ -49,8 +49,8 @@
 import org.orchidmount.membership.Incarnation;
 import org.orchidmount.membership.Registration;
 import org.orchidmount.quota.QuotaAnswer;
-import org.orchidmount.quota.QuotaAsk;
 import org.orchidmount.quota.QuotaLimit;
+import org.orchidmount.quota.QuotaRequest;
 
 /**
  * Encodes and decodes cluster messages and the durable state as MessagePack: a type number,
@@ -129,7 +129,7 @@
             writeSequences(out, all.sequences());
         } else if (message instanceof Replication replication) {
             writeReplication(out, replication);
-        } else if (message instanceof QuotaRequest request) {
+        } else if (message instanceof QuotaRequestMessage request) {
             writeQuotaRequest(out, request);
         } else if (message instanceof QuotaReply reply) {
             out.packInt(QUOTA_REPLY).packLong(reply.number());
@@ -180,16 +180,18 @@
         }
     }
 
-    private static void writeQuotaRequest(MessageBufferPacker out, QuotaRequest request)
+    private static void writeQuotaRequest(MessageBufferPacker out, QuotaRequestMessage message)
             throws IOException {
-        QuotaAsk ask = request.ask();
-        out.packInt(QUOTA_REQUEST).packLong(request.number()).packString(ask.key());
-        out.packDouble(ask.limit().ratePerSecond()).packDouble(ask.limit().burst());
-        out.packDouble(ask.limit().tolerance()).packLong(ask.limit().window().toNanos());
-        out.packLong(ask.version()).packLong(ask.units()).packBoolean(request.isOwnerSilent());
+        QuotaRequest request = message.request();
+        out.packInt(QUOTA_REQUEST).packLong(message.number()).packString(request.key());
+        out.packDouble(request.limit().ratePerSecond()).packDouble(request.limit().burst());
+        out.packDouble(request.limit().tolerance()).packLong(request.limit().window().toNanos());
+        out.packLong(request.version())
+                .packLong(request.units())
+                .packBoolean(message.isOwnerSilent());
     }
 
-    private static QuotaRequest readQuotaRequest(MessageUnpacker in) throws IOException {
+    private static QuotaRequestMessage readQuotaRequest(MessageUnpacker in) throws IOException {
         long number = in.unpackLong();
         String key = in.unpackString();
         QuotaLimit limit =
@@ -198,8 +200,8 @@
                         in.unpackDouble(),
                         in.unpackDouble(),
                         Duration.ofNanos(in.unpackLong()));
-        QuotaAsk ask = new QuotaAsk(key, limit, in.unpackLong(), in.unpackLong());
-        return new QuotaRequest(number, ask, in.unpackBoolean());
+        QuotaRequest request = new QuotaRequest(key, limit, in.unpackLong(), in.unpackLong());
+        return new QuotaRequestMessage(number, request, in.unpackBoolean());
     }
 
     private static QuotaReply readQuotaReply(MessageUnpacker in) throws IOException {
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/ClusterMessage.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/ClusterMessage.java
@@ -14,7 +14,7 @@
 import org.orchidmount.pacing.UpstreamLimit;
 import org.orchidmount.quarantine.CrashRecord;
 import org.orchidmount.quota.QuotaAnswer;
-import org.orchidmount.quota.QuotaAsk;
+import org.orchidmount.quota.QuotaRequest;
 
 /**
  * A message between instances.
@@ -145,15 +145,15 @@
      * Requests units of a limit from the owner of the token buckets.
      *
      * @param number identifier echoed by the reply
-     * @param ask the key, its limit and the units requested
+     * @param request the key, its limit and the units requested
      * @param isOwnerSilent whether the owner does not respond, so that another voter may grant
      *     units from its reserve
      */
-    record QuotaRequest(long number, QuotaAsk ask, boolean isOwnerSilent)
+    record QuotaRequestMessage(long number, QuotaRequest request, boolean isOwnerSilent)
             implements ClusterMessage {}
 
     /**
-     * Reply to a {@link QuotaRequest}.
+     * Reply to a {@link QuotaRequestMessage}.
      *
      * @param number the number of the request
      * @param answer the outcome
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/EntryNode.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/EntryNode.java
@@ -42,8 +42,8 @@
 import org.orchidmount.quarantine.CrashRecord;
 import org.orchidmount.quarantine.CrashRegistry;
 import org.orchidmount.quota.QuotaAnswer;
-import org.orchidmount.quota.QuotaAsk;
 import org.orchidmount.quota.QuotaOwnerClient;
+import org.orchidmount.quota.QuotaRequest;
 import org.orchidmount.routes.RouteTable;
 import org.orchidmount.routes.RouteTableParser;
 
@@ -310,9 +310,9 @@
     }
 
     @Override
-    public CompletableFuture<QuotaAnswer> askOwner(QuotaAsk ask) {
+    public CompletableFuture<QuotaAnswer> askOwner(QuotaRequest request) {
         CompletableFuture<QuotaAnswer> answer = new CompletableFuture<>();
-        mTasks.post(() -> mQuotaRequests.ask(ask, answer));
+        mTasks.post(() -> mQuotaRequests.ask(request, answer));
         return answer;
     }
 
@@ -399,12 +399,12 @@
 
     private final class CountingOwnerClient implements QuotaOwnerClient {
         @Override
-        public CompletableFuture<QuotaAnswer> askOwner(QuotaAsk ask) {
+        public CompletableFuture<QuotaAnswer> askOwner(QuotaRequest request) {
             CompletableFuture<QuotaAnswer> answer = new CompletableFuture<>();
             mTasks.post(
                     () -> {
                         if (mRecords.allVotersSupport(Capability.UPSTREAM_LIMITS)) {
-                            mQuotaRequests.ask(ask, answer);
+                            mQuotaRequests.ask(request, answer);
                         } else {
                             answer.complete(QuotaAnswer.NO_OWNER);
                         }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/QuotaRequests.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/QuotaRequests.java
@@ -13,11 +13,11 @@
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 import org.orchidmount.cluster.ClusterMessage.QuotaReply;
-import org.orchidmount.cluster.ClusterMessage.QuotaRequest;
+import org.orchidmount.cluster.ClusterMessage.QuotaRequestMessage;
 import org.orchidmount.cluster.ClusterMessage.QuotaReturn;
 import org.orchidmount.internal.log.PartLog;
 import org.orchidmount.quota.QuotaAnswer;
-import org.orchidmount.quota.QuotaAsk;
+import org.orchidmount.quota.QuotaRequest;
 
 /**
  * An entry's requests for quota to the owner of the token buckets, which is the leading voter.
@@ -48,7 +48,7 @@
 
     /** A request that awaits a voter's reply. */
     private record Pending(
-            QuotaAsk ask,
+            QuotaRequest request,
             CompletableFuture<QuotaAnswer> answer,
             HostPort asked,
             boolean isOwnerSilent,
@@ -80,28 +80,28 @@
         asked.removeIf(pending -> !pending.asked().equals(voter));
         mPending.values().removeIf(pending -> pending.asked().equals(voter));
         asked.removeIf(pending -> pending.answer().isDone());
-        asked.forEach(pending -> send(pending.ask(), pending.answer(), pending.attempts()));
+        asked.forEach(pending -> send(pending.request(), pending.answer(), pending.attempts()));
     }
 
     /**
      * Requests units; the future completes with the reply, or with {@code NO_OWNER} if no voter can
      * grant them.
      */
-    void ask(QuotaAsk ask, CompletableFuture<QuotaAnswer> answer) {
-        send(ask, answer, 0);
+    void ask(QuotaRequest request, CompletableFuture<QuotaAnswer> answer) {
+        send(request, answer, 0);
     }
 
-    private void send(QuotaAsk ask, CompletableFuture<QuotaAnswer> answer, int attempts) {
+    private void send(QuotaRequest request, CompletableFuture<QuotaAnswer> answer, int attempts) {
         boolean isOwnerUsable = isOwnerUsable();
-        HostPort asked = isOwnerUsable ? mOwner : voterWithoutLease(ask);
+        HostPort asked = isOwnerUsable ? mOwner : voterWithoutLease(request);
         if (asked == null || attempts >= MAX_ATTEMPTS) {
             answer.complete(QuotaAnswer.NO_OWNER);
             return;
         }
         long number = ++mLastNumber;
         boolean isOwnerSilent = !isOwnerUsable && (mOwner != null || attempts > 0);
-        mPending.put(number, new Pending(ask, answer, asked, isOwnerSilent, attempts + 1));
-        mVoters.get(asked).send(new QuotaRequest(number, ask, isOwnerSilent));
+        mPending.put(number, new Pending(request, answer, asked, isOwnerSilent, attempts + 1));
+        mVoters.get(asked).send(new QuotaRequestMessage(number, request, isOwnerSilent));
     }
 
     private boolean isOwnerUsable() {
@@ -121,13 +121,13 @@
     }
 
     /** Returns a responsive voter chosen by entry and key; null if there is none. */
-    private HostPort voterWithoutLease(QuotaAsk ask) {
+    private HostPort voterWithoutLease(QuotaRequest request) {
         List<HostPort> answering =
                 mVoters.keySet().stream().filter(voter -> !isSilent(voter)).toList();
         if (answering.isEmpty()) {
             return null;
         }
-        return answering.get(Math.floorMod(mSpread + ask.key().hashCode(), answering.size()));
+        return answering.get(Math.floorMod(mSpread + request.key().hashCode(), answering.size()));
     }
 
     /** Handles the reply of a voter. */
@@ -140,7 +140,7 @@
         if (reply.answer().outcome() == QuotaAnswer.Outcome.NO_OWNER) {
             onNoOwner(pending);
         } else if (!pending.answer().complete(reply.answer())) {
-            giveBackTo(pending.asked(), pending.ask(), reply.answer());
+            giveBackTo(pending.asked(), pending.request(), reply.answer());
         }
     }
 
@@ -160,17 +160,17 @@
         boolean hasOwner = isOwnerUsable() && !mOwner.equals(pending.asked());
         boolean mayAsk = hasOwner || !pending.isOwnerSilent();
         if (mayAsk && !pending.answer().isDone()) {
-            send(pending.ask(), pending.answer(), pending.attempts());
+            send(pending.request(), pending.answer(), pending.attempts());
         } else {
             pending.answer().complete(QuotaAnswer.NO_OWNER);
         }
     }
 
     /** Returns units that were granted too late to the voter that granted them. */
-    private void giveBackTo(HostPort voter, QuotaAsk ask, QuotaAnswer answer) {
+    private void giveBackTo(HostPort voter, QuotaRequest request, QuotaAnswer answer) {
         Link link = mVoters.get(voter);
         if (answer.outcome() == QuotaAnswer.Outcome.GRANTED && link != null) {
-            link.send(new QuotaReturn(ask.key(), ask.units()));
+            link.send(new QuotaReturn(request.key(), request.units()));
         }
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/StageController.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/StageController.java
@@ -74,8 +74,8 @@
      */
     private static final int HEARTBEATS_UNTIL_LOST = 10;
 
-    private final VoterConfig.Stages mConfig;
-    private final StageOrders mOrders;
+    private final VoterConfig.StageOrderConfig mConfig;
+    private final StageOrderClient mOrders;
     private final EngineStagePlan mPlan;
     private final UpstreamPauses mPauses;
     private final Consumer<Registration> mDepartures;
@@ -89,7 +89,7 @@
     private long mDueSinceNanos;
     private long mCooldownUntilNanos;
     private long mOrderedNanos;
-    private StageOrders.Order mPending;
+    private StageOrderClient.Order mPending;
 
     /**
      * Whether the engine of the last order has restarted since; shared with the thread of that
@@ -99,7 +99,7 @@
 
     /** The result of an order and the time at which it was given. */
     private record OrderResult(
-            StageOrders.Order order, StageOrders.Result result, long orderedNanos) {}
+            StageOrderClient.Order order, StageOrderClient.Result result, long orderedNanos) {}
 
     /**
      * Creates a controller.
@@ -111,7 +111,7 @@
      *     are leaving; called on any thread
      */
     StageController(
-            VoterConfig.Stages config,
+            VoterConfig.StageOrderConfig config,
             String holder,
             UpstreamPauses pauses,
             Consumer<Registration> departures) {
@@ -243,8 +243,8 @@
 
     private void startOrder(
             EngineStagePlan.Change change, BooleanSupplier stillHeld, long nowNanos) {
-        StageOrders.Order order =
-                new StageOrders.Order(change.engine(), change.stage(), mHolder, mTerm);
+        StageOrderClient.Order order =
+                new StageOrderClient.Order(change.engine(), change.stage(), mHolder, mTerm);
         mPending = order;
         mOrderedNanos = nowNanos;
         mDue = null;
@@ -259,8 +259,9 @@
     }
 
     /** Sends an order and records its result; runs on the order's own thread. */
-    private void sendOrder(StageOrders.Order order, BooleanSupplier stillHeld, long orderedNanos) {
-        StageOrders.Result result = StageOrders.Result.UNKNOWN;
+    private void sendOrder(
+            StageOrderClient.Order order, BooleanSupplier stillHeld, long orderedNanos) {
+        StageOrderClient.Result result = StageOrderClient.Result.UNKNOWN;
         try {
             result =
                     mOrders.changeStage(
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/StageOrders.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/StageOrderClient.java
@@ -16,7 +16,7 @@
  * since it registered.
  */
 @FunctionalInterface
-public interface StageOrders {
+public interface StageOrderClient {
     /**
      * Orders an engine to change its stage; blocks until it responds or a time-out expires.
      *
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/TableAnswer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/TableReply.java
@@ -6,19 +6,19 @@
 package org.orchidmount.cluster;
 
 /** Reply of a voter to an operator's request about the route table. */
-public sealed interface TableAnswer {
+public sealed interface TableReply {
     /** The change or a newer version is committed. */
-    record Accepted(long version) implements TableAnswer {}
+    record Accepted(long version) implements TableReply {}
 
     /** A different table was already accepted under this version. */
-    record Conflict(long version) implements TableAnswer {}
+    record Conflict(long version) implements TableReply {}
 
     /** The committed table; the document is empty and the version 0 if there is none. */
-    record Current(long version, byte[] document) implements TableAnswer {}
+    record Current(long version, byte[] document) implements TableReply {}
 
     /** Another voter leads; the request must be sent to its control address. */
-    record AskLeader(String controlAddress) implements TableAnswer {}
+    record NotLeader(String controlAddress) implements TableReply {}
 
     /** No quorum responded; a change may or may not have been accepted. */
-    record Unavailable() implements TableAnswer {}
+    record Unavailable() implements TableReply {}
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterConfig.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterConfig.java
@@ -35,7 +35,7 @@
         Path folder,
         int lossesBorne,
         Timing timing,
-        Stages stages) {
+        StageOrderConfig stages) {
     /** Creates a configuration with a copy of the list of seeds. */
     public VoterConfig {
         seeds = List.copyOf(seeds);
@@ -49,8 +49,8 @@
      * @param prefillShare the fraction of the engines that prefill
      * @param orders the client that sends orders
      */
-    public record Stages(
-            Duration lease, Duration heartbeat, double prefillShare, StageOrders orders) {}
+    public record StageOrderConfig(
+            Duration lease, Duration heartbeat, double prefillShare, StageOrderClient orders) {}
 
     /**
      * A voter listed in the settings.
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterNode.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterNode.java
@@ -22,7 +22,7 @@
 import org.orchidmount.cluster.ClusterMessage.Greeting;
 import org.orchidmount.cluster.ClusterMessage.InFlightSequences;
 import org.orchidmount.cluster.ClusterMessage.KeepAlive;
-import org.orchidmount.cluster.ClusterMessage.QuotaRequest;
+import org.orchidmount.cluster.ClusterMessage.QuotaRequestMessage;
 import org.orchidmount.cluster.ClusterMessage.QuotaReturn;
 import org.orchidmount.cluster.ClusterMessage.Registrations;
 import org.orchidmount.cluster.ClusterMessage.RegistrationsAck;
@@ -160,7 +160,7 @@
      * @param document the validated table document
      * @return the reply; may never complete
      */
-    public CompletableFuture<TableAnswer> putTable(long version, byte[] document) {
+    public CompletableFuture<TableReply> putTable(long version, byte[] document) {
         return runOnLeader(
                 done -> {
                     GroupState newest = mReplica.state();
@@ -173,7 +173,7 @@
                                 newest.withTable(version, document),
                                 committed -> done.accept(accepted(committed, version)));
                     } else if (same && !Arrays.equals(document, newest.tableDocument())) {
-                        done.accept(new TableAnswer.Conflict(version));
+                        done.accept(new TableReply.Conflict(version));
                     } else {
                         mReplica.confirm(
                                 confirmed ->
@@ -182,8 +182,8 @@
                 });
     }
 
-    private static TableAnswer accepted(boolean certain, long version) {
-        return certain ? new TableAnswer.Accepted(version) : new TableAnswer.Unavailable();
+    private static TableReply accepted(boolean certain, long version) {
+        return certain ? new TableReply.Accepted(version) : new TableReply.Unavailable();
     }
 
     /**
@@ -191,22 +191,22 @@
      *
      * @return the reply; may never complete
      */
-    public CompletableFuture<TableAnswer> readTable() {
+    public CompletableFuture<TableReply> readTable() {
         return runOnLeader(
                 done ->
                         mReplica.confirm(
                                 confirmed ->
                                         done.accept(
                                                 confirmed
-                                                        ? new TableAnswer.Current(
+                                                        ? new TableReply.Current(
                                                                 mCommitted.tableVersion(),
                                                                 mCommitted.tableDocument())
-                                                        : new TableAnswer.Unavailable())));
+                                                        : new TableReply.Unavailable())));
     }
 
     /** Runs a request on the leader, or replies with the leader's address. */
-    private CompletableFuture<TableAnswer> runOnLeader(Consumer<Consumer<TableAnswer>> request) {
-        CompletableFuture<TableAnswer> answer = new CompletableFuture<>();
+    private CompletableFuture<TableReply> runOnLeader(Consumer<Consumer<TableReply>> request) {
+        CompletableFuture<TableReply> answer = new CompletableFuture<>();
         mTasks.post(
                 () -> {
                     if (mReplica.role() == Replica.Role.LEADER) {
@@ -217,8 +217,8 @@
                             mReplica.isInTouch() ? mReplica.leader() : Optional.empty();
                     answer.complete(
                             leader.map(Member::controlAddress)
-                                    .<TableAnswer>map(TableAnswer.AskLeader::new)
-                                    .orElseGet(TableAnswer.Unavailable::new));
+                                    .<TableReply>map(TableReply.NotLeader::new)
+                                    .orElseGet(TableReply.Unavailable::new));
                 });
         return answer;
     }
@@ -467,8 +467,8 @@
             onReplication(replication);
         } else if (message instanceof InFlightSequences announced) {
             mSequenceRelay.add(announced);
-        } else if (message instanceof QuotaRequest request) {
-            onQuotaRequest(link, request);
+        } else if (message instanceof QuotaRequestMessage quotaRequest) {
+            onQuotaRequest(link, quotaRequest);
         } else if (message instanceof QuotaReturn units) {
             mQuota.giveBack(units, mClock.nanoTime());
         } else if (message instanceof Registrations registrations) {
@@ -485,10 +485,10 @@
     }
 
     /** Ticks the replica first: if this process was suspended, another voter may lead by now. */
-    private void onQuotaRequest(Link link, QuotaRequest request) {
+    private void onQuotaRequest(Link link, QuotaRequestMessage message) {
         long nowNanos = mClock.nanoTime();
         mReplica.tick(nowNanos);
-        link.send(mQuota.answer(request, nowNanos));
+        link.send(mQuota.answer(message, nowNanos));
     }
 
     private void onRegistrationsAck(Link link, RegistrationsAck held) {
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterQuota.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterQuota.java
@@ -7,7 +7,7 @@
 
 import java.util.OptionalLong;
 import org.orchidmount.cluster.ClusterMessage.QuotaReply;
-import org.orchidmount.cluster.ClusterMessage.QuotaRequest;
+import org.orchidmount.cluster.ClusterMessage.QuotaRequestMessage;
 import org.orchidmount.cluster.ClusterMessage.QuotaReturn;
 import org.orchidmount.consensus.Member;
 import org.orchidmount.consensus.Replica;
@@ -57,17 +57,17 @@
      * Answers a request of an entry. The replica must have been ticked just before, so that an
      * expired leadership is noticed.
      */
-    QuotaReply answer(QuotaRequest request, long nowNanos) {
+    QuotaReply answer(QuotaRequestMessage message, long nowNanos) {
         tick(nowNanos);
         QuotaAnswer answer = QuotaAnswer.NO_OWNER;
         if (mReplica.holdsQuorum()) {
             mOwner.hold(mReplica.term(), mLeases.formerNanos(), nowNanos);
-            answer = mOwner.ask(request.ask(), nowNanos);
-        } else if (request.isOwnerSilent() && isMember()) {
+            answer = mOwner.ask(message.request(), nowNanos);
+        } else if (message.isOwnerSilent() && isMember()) {
             int voters = mReplica.state().members().size();
-            answer = mReserve.ask(request.ask(), voters, nowNanos);
+            answer = mReserve.ask(message.request(), voters, nowNanos);
         }
-        return new QuotaReply(request.number(), answer, leaderAddress());
+        return new QuotaReply(message.number(), answer, leaderAddress());
     }
 
     /**
--- a/org.orchidmount/src/main/java/org/orchidmount/controller/Admission.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/controller/Admission.java
@@ -16,8 +16,8 @@
 import org.orchidmount.blackboard.Reservation;
 import org.orchidmount.blackboard.Ticket;
 import org.orchidmount.clock.MonotonicClock;
-import org.orchidmount.limits.LimitBook;
-import org.orchidmount.limits.LimitBook.Limit;
+import org.orchidmount.limits.LocalLimits;
+import org.orchidmount.limits.LocalLimits.Limit;
 import org.orchidmount.routing.Decision;
 import org.orchidmount.routing.DecisionInput;
 import org.orchidmount.routing.Policy;
@@ -40,7 +40,7 @@
     private static final Duration TICK = Duration.ofMillis(20);
 
     private final Blackboard mBoard;
-    private final LimitBook mLimits;
+    private final LocalLimits mLimits;
     private final Policy mPolicy;
     private final MonotonicClock mClock;
     private final RandomGenerator mRandom;
@@ -62,7 +62,7 @@
      */
     public Admission(
             Blackboard board,
-            LimitBook limits,
+            LocalLimits limits,
             Policy policy,
             MonotonicClock clock,
             RandomGenerator random,
--- a/org.orchidmount/src/main/java/org/orchidmount/limits/AccountLimits.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/limits/AccountLimits.java
@@ -9,8 +9,8 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import org.orchidmount.quota.QuotaAnswer;
-import org.orchidmount.quota.QuotaAsk;
 import org.orchidmount.quota.QuotaLimit;
+import org.orchidmount.quota.QuotaRequest;
 import org.orchidmount.quota.QuotaTolerance;
 import org.orchidmount.quota.SharedQuota;
 import org.orchidmount.routes.ClientAccount;
@@ -25,7 +25,7 @@
     private static final double OWNER_WAIT_SHARE = 0.06;
 
     /** Result for a request without a limit. */
-    public static final Taken UNLIMITED = new Taken(Optional.empty(), QuotaAnswer.GRANTED);
+    public static final Grant UNLIMITED = new Grant(Optional.empty(), QuotaAnswer.GRANTED);
 
     private final SharedQuota mQuota;
     private final QuotaTolerance mTolerance;
@@ -33,10 +33,10 @@
     /**
      * Result of taking units from a limit. Immutable.
      *
-     * @param ask the units asked for; empty if the account has no limit
+     * @param request the units requested; empty if the account has no limit
      * @param answer whether the request may run
      */
-    public record Taken(Optional<QuotaAsk> ask, QuotaAnswer answer) {}
+    public record Grant(Optional<QuotaRequest> request, QuotaAnswer answer) {}
 
     /**
      * Creates the limits.
@@ -59,7 +59,7 @@
      * @return the result, which states whether the request may run
      * @throws InterruptedException if the thread is interrupted
      */
-    public Taken take(
+    public Grant take(
             ClientAccount account, long tableVersion, OptionalLong statedTokens, Duration target)
             throws InterruptedException {
         if (account.limit().isEmpty()) {
@@ -67,18 +67,18 @@
         }
         ClientAccount.Limit limit = account.limit().get();
         QuotaLimit shared = mTolerance.limit(limit.ratePerSecond(), limit.burst());
-        QuotaAsk ask =
-                new QuotaAsk(account.name(), shared, tableVersion, limit.units(statedTokens));
+        QuotaRequest request =
+                new QuotaRequest(account.name(), shared, tableVersion, limit.units(statedTokens));
         Duration maxWait = Duration.ofNanos((long) (OWNER_WAIT_SHARE * target.toNanos()));
-        return new Taken(Optional.of(ask), mQuota.take(ask, maxWait));
+        return new Grant(Optional.of(request), mQuota.take(request, maxWait));
     }
 
     /**
      * Returns the units of a request that has not run.
      *
-     * @param taken result of {@link #take} for the request
+     * @param grant result of {@link #take} for the request
      */
-    public void giveBack(Taken taken) {
-        taken.ask().ifPresent(ask -> mQuota.giveBack(ask, taken.answer()));
+    public void giveBack(Grant grant) {
+        grant.request().ifPresent(request -> mQuota.giveBack(request, grant.answer()));
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/limits/LimitBook.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/limits/LocalLimits.java
@@ -20,7 +20,7 @@
  *
  * <p>Invariant: a request counts against all its limits or against none. Thread-safe.
  */
-public final class LimitBook {
+public final class LocalLimits {
     private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
     private final OrderedLock mLock = new OrderedLock(LockRank.LIMITS);
--- a/org.orchidmount/src/main/java/org/orchidmount/load/EngineLoads.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/load/EngineLoads.java
@@ -18,7 +18,7 @@
 import org.orchidmount.internal.lock.LockRank;
 import org.orchidmount.internal.lock.OrderedLock;
 import org.orchidmount.membership.Incarnation;
-import org.orchidmount.routing.EnginePace;
+import org.orchidmount.routing.EngineSpeed;
 import org.orchidmount.routing.MemoryForecast;
 import org.orchidmount.routing.MemoryRule;
 
@@ -179,18 +179,18 @@
      *
      * @param candidate the sequence to place; its engine is ignored
      * @param memoryTokens KV cache memory of each engine, in tokens
-     * @param pace measured speed of the engines
+     * @param speed measured speed of the engines
      * @return ids of the full engines; an engine without sequences is never included
      */
     public Set<String> saturatedEngines(
-            InFlightSequence candidate, long memoryTokens, EnginePace pace) {
+            InFlightSequence candidate, long memoryTokens, EngineSpeed speed) {
         try (OrderedLock.Held _ = mLock.hold()) {
             long nowNanos = mClock.nanoTime();
             removeExpired(nowNanos);
             Set<String> saturated = new HashSet<>();
             mSequences.forEach(
                     (upstreamId, atEngine) -> {
-                        if (!fits(atEngine, candidate, memoryTokens, pace, nowNanos)) {
+                        if (!fits(atEngine, candidate, memoryTokens, speed, nowNanos)) {
                             saturated.add(upstreamId);
                         }
                     });
@@ -218,17 +218,17 @@
      * Estimates the KV cache memory that the sequences of an engine use now.
      *
      * @param upstreamId the engine's id
-     * @param pace measured speed of the engines
+     * @param speed measured speed of the engines
      * @return tokens
      */
-    public double usedMemoryTokens(String upstreamId, EnginePace pace) {
+    public double usedMemoryTokens(String upstreamId, EngineSpeed speed) {
         try (OrderedLock.Held _ = mLock.hold()) {
             long nowNanos = mClock.nanoTime();
             return inFlight(upstreamId)
                     .mapToDouble(
                             announcement ->
                                     announcement.sequence().promptTokens()
-                                            + generatedTokens(announcement, pace, nowNanos))
+                                            + generatedTokens(announcement, speed, nowNanos))
                     .sum();
         }
     }
@@ -259,11 +259,11 @@
      *
      * @param sequence the announced sequence
      * @param memoryTokens KV cache memory of the engine, in tokens
-     * @param pace measured speed of the engines
+     * @param speed measured speed of the engines
      * @return false if the sequence must be placed on another engine, because it does not fit or
      *     because the engine has restarted
      */
-    public boolean keepsPlace(InFlightSequence sequence, long memoryTokens, EnginePace pace) {
+    public boolean keepsPlace(InFlightSequence sequence, long memoryTokens, EngineSpeed speed) {
         try (OrderedLock.Held _ = mLock.hold()) {
             if (isOfEarlierIncarnation(sequence)) {
                 return false;
@@ -276,7 +276,7 @@
             }
             Map<String, Announcement> before = new HashMap<>(atEngine);
             before.values().removeIf(other -> !hasPrecedence(other, own));
-            return fits(before, sequence, memoryTokens, pace, mClock.nanoTime());
+            return fits(before, sequence, memoryTokens, speed, mClock.nanoTime());
         }
     }
 
@@ -292,13 +292,13 @@
             Map<String, Announcement> atEngine,
             InFlightSequence candidate,
             long memoryTokens,
-            EnginePace pace,
+            EngineSpeed speed,
             long nowNanos) {
         List<MemoryForecast.Sequence> sequences = new ArrayList<>(atEngine.size() + 1);
         sequences.add(candidate.forecastInput(0));
         for (Announcement announcement : atEngine.values()) {
             if (!announcement.sequence().ended()) {
-                double tokens = generatedTokens(announcement, pace, nowNanos);
+                double tokens = generatedTokens(announcement, speed, nowNanos);
                 sequences.add(announcement.sequence().forecastInput(tokens));
             }
         }
@@ -307,13 +307,13 @@
 
     /** Extrapolates the number of generated tokens from the latest announcement. */
     private static double generatedTokens(
-            Announcement announcement, EnginePace pace, long nowNanos) {
+            Announcement announcement, EngineSpeed speed, long nowNanos) {
         double sinceMillis = Millis.ofNanos(nowNanos - announcement.lastReceivedNanos());
         boolean begun = announcement.sequence().generatedTokens() > 0;
         double growingMillis =
-                begun ? sinceMillis : Math.max(0, sinceMillis - pace.firstTokenMillis());
+                begun ? sinceMillis : Math.max(0, sinceMillis - speed.firstTokenMillis());
         return announcement.sequence().generatedTokens()
-                + growingMillis * pace.outputTokensPerMilli();
+                + growingMillis * speed.outputTokensPerMilli();
     }
 
     private void removeExpired(long nowNanos) {
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamPace.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamThrottle.java
@@ -22,8 +22,8 @@
 import org.orchidmount.membership.Incarnation;
 import org.orchidmount.membership.Registration;
 import org.orchidmount.quota.QuotaAnswer;
-import org.orchidmount.quota.QuotaAsk;
 import org.orchidmount.quota.QuotaLimit;
+import org.orchidmount.quota.QuotaRequest;
 import org.orchidmount.quota.SharedQuota;
 
 /**
@@ -40,7 +40,7 @@
  * capacity it is not asked again by this instance before the time that it named; nothing is sent to
  * an upstream during its pause, whatever its limit. Thread-safe.
  */
-public final class UpstreamPace {
+public final class UpstreamThrottle {
     /**
      * Minimum rate. An upstream whose limit is zero still gets one request every five seconds,
      * since only a response can show that it accepts requests again.
@@ -103,7 +103,7 @@
      * @param random spreads the first requests of instances that have no owner
      * @param clock monotonic clock
      */
-    public UpstreamPace(
+    public UpstreamThrottle(
             UpstreamLimits limits,
             UpstreamLimitAnnouncer announcer,
             SharedQuota quota,
@@ -176,12 +176,12 @@
         if (!untilCapacity(upstream).isZero()) {
             return refused();
         }
-        QuotaAsk ask = ask(limit.get());
+        QuotaRequest request = quotaRequest(limit.get());
         Duration ownerTimeout = Duration.ofNanos((long) (OWNER_TIMEOUT_SHARE * target.toNanos()));
-        QuotaAnswer answer = mQuota.take(ask, ownerTimeout);
+        QuotaAnswer answer = mQuota.take(request, ownerTimeout);
         if (answer.isGranted()) {
             mCounted.incrementAndGet();
-            return SendPermit.counted(ask);
+            return SendPermit.counted(request);
         }
         if (answer.outcome() == QuotaAnswer.Outcome.NO_OWNER) {
             return takeWithoutOwner(limit.get());
@@ -190,10 +190,11 @@
         return refused();
     }
 
-    private static QuotaAsk ask(UpstreamLimit limit) {
+    private static QuotaRequest quotaRequest(UpstreamLimit limit) {
         double perSecond = rate(limit);
         QuotaLimit counted = new QuotaLimit(perSecond, 1 + BURST_SECONDS * perSecond, 0, WINDOW);
-        return new QuotaAsk(QuotaKeys.ofUpstream(limit.upstream()), counted, limit.version(), 1);
+        return new QuotaRequest(
+                QuotaKeys.ofUpstream(limit.upstream()), counted, limit.version(), 1);
     }
 
     private static double rate(UpstreamLimit limit) {
@@ -226,7 +227,7 @@
      * @param permit the permit
      */
     public void giveBack(SendPermit permit) {
-        permit.owed().ifPresent(ask -> mQuota.giveBack(ask, QuotaAnswer.GRANTED));
+        permit.owed().ifPresent(request -> mQuota.giveBack(request, QuotaAnswer.GRANTED));
     }
 
     /**
@@ -345,7 +346,9 @@
                 upstreams.stream()
                         .map(mLimits::find)
                         .mapToDouble(
-                                limit -> limit.map(UpstreamPace::rate).orElse(unlimitedPerSecond))
+                                limit ->
+                                        limit.map(UpstreamThrottle::rate)
+                                                .orElse(unlimitedPerSecond))
                         .sum();
         Duration untilAnyAvailable = untilAnyTakesWork(upstreams);
         Duration interval = interval(perSecond / mInstances.getAsInt());
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashReports.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashReports.java
@@ -41,7 +41,7 @@
     private final CrashAnnouncer mAnnouncer;
     private final TerminationProbe mProbe;
     private final TerminationWatch mWatch;
-    private final SharedTurns mTurns;
+    private final RunLock mRunLock;
     private final UnconfirmedCrashes mUnconfirmed;
     private final RunningSuspects mRunning = new RunningSuspects();
     private final AtomicLong mCrashes = new AtomicLong();
@@ -55,7 +55,7 @@
      * @param announcer distributes the records
      * @param probe determines whether an upstream has terminated
      * @param watch waits for the termination of an upstream
-     * @param turns serializes suspected requests over all instances
+     * @param runLock serializes suspected requests over all instances
      * @param clock clock for the age of unconfirmed crashes
      */
     public CrashReports(
@@ -63,13 +63,13 @@
             CrashAnnouncer announcer,
             TerminationProbe probe,
             TerminationWatch watch,
-            SharedTurns turns,
+            RunLock runLock,
             MonotonicClock clock) {
         mRegistry = registry;
         mAnnouncer = announcer;
         mProbe = probe;
         mWatch = watch;
-        mTurns = turns;
+        mRunLock = runLock;
         mUnconfirmed = new UnconfirmedCrashes(clock);
     }
 
@@ -103,7 +103,7 @@
         if (!mRunning.tryBegin(request)) {
             return false;
         }
-        if (mTurns.tryTake(request)) {
+        if (mRunLock.tryTake(request)) {
             return true;
         }
         mRunning.end(request);
@@ -112,7 +112,7 @@
 
     /** Releases what {@link #tryBegin} has acquired. */
     void end(RequestFingerprint request) {
-        mTurns.end(request);
+        mRunLock.release(request);
         mRunning.end(request);
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/PacedTurns.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/QuotaRunLock.java
@@ -9,22 +9,22 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import org.orchidmount.quota.QuotaAnswer;
-import org.orchidmount.quota.QuotaAsk;
 import org.orchidmount.quota.QuotaLimit;
+import org.orchidmount.quota.QuotaRequest;
 import org.orchidmount.quota.SharedQuota;
 
 /**
- * Turns granted by the owner of the shared limits. A turn is one unit, which is returned when the
- * run has ended, or is refilled within one second, for example if the instance that holds it
- * terminates. While there is no owner, each instance grants turns on its own.
+ * Run locks granted by the owner of the shared limits. A lock is one unit, which is returned when
+ * the run has ended, or is refilled within one second, for example if the instance that holds it
+ * terminates. While there is no owner, each instance grants locks on its own.
  *
- * <p>Invariant: a crash is announced before the turn is returned, over the same connections, so
- * that the next holder of the turn knows of it. Thread-safe.
+ * <p>Invariant: a crash is announced before the lock is returned, over the same connections, so
+ * that the next holder of the lock knows of it. Thread-safe.
  */
-public final class PacedTurns implements SharedTurns {
+public final class QuotaRunLock implements RunLock {
     private static final String PREFIX = "turn\u0000";
 
-    /** Limit with a burst far below one turn, so that no two turns are granted at once. */
+    /** Limit with a burst far below one lock, so that no two locks are granted at once. */
     private static final QuotaLimit LIMIT = new QuotaLimit(1, 0.001, 1, Duration.ofSeconds(1));
 
     /**
@@ -36,18 +36,18 @@
     private final Set<RequestFingerprint> mTaken = ConcurrentHashMap.newKeySet();
 
     /**
-     * Creates turns on top of a shared quota.
+     * Creates run locks on top of a shared quota.
      *
      * @param quota quota that reaches the owner
      */
-    public PacedTurns(SharedQuota quota) {
+    public QuotaRunLock(SharedQuota quota) {
         mQuota = quota;
     }
 
     @Override
     public boolean tryTake(RequestFingerprint request) {
         try {
-            QuotaAnswer answer = mQuota.take(ask(request), OWNER_TIMEOUT);
+            QuotaAnswer answer = mQuota.take(quotaRequest(request), OWNER_TIMEOUT);
             if (answer.outcome() == QuotaAnswer.Outcome.GRANTED) {
                 mTaken.add(request);
             }
@@ -58,14 +58,14 @@
         }
     }
 
-    private static QuotaAsk ask(RequestFingerprint request) {
-        return new QuotaAsk(PREFIX + request.hex(), LIMIT, 1, 1);
+    private static QuotaRequest quotaRequest(RequestFingerprint request) {
+        return new QuotaRequest(PREFIX + request.hex(), LIMIT, 1, 1);
     }
 
     @Override
-    public void end(RequestFingerprint request) {
+    public void release(RequestFingerprint request) {
         if (mTaken.remove(request)) {
-            mQuota.giveBack(ask(request), QuotaAnswer.GRANTED);
+            mQuota.giveBack(quotaRequest(request), QuotaAnswer.GRANTED);
         }
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/RunGuard.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/RunGuard.java
@@ -37,7 +37,7 @@
     private CrashRecord mKnownRecord;
 
     /** Whether this request holds the right to run among its copies. */
-    private boolean mHasTurn;
+    private boolean mHasRunLock;
 
     /**
      * Creates a guard.
@@ -88,20 +88,22 @@
         if (mKnownRecord == null) {
             return true;
         }
-        return !mKnownRecord.isQuarantined() && tryTakeTurn() && !mKnownRecord.isQuarantined();
+        return !mKnownRecord.isQuarantined()
+                && tryAcquireRunLock()
+                && !mKnownRecord.isQuarantined();
     }
 
     /**
-     * Reloads the record after acquiring the turn, since the previous holder may have added a
+     * Reloads the record after acquiring the run lock, since the previous holder may have added a
      * crash.
      */
-    private boolean tryTakeTurn() {
-        if (mKnownRecord.crashes() < mSerializeAfter || mHasTurn) {
+    private boolean tryAcquireRunLock() {
+        if (mKnownRecord.crashes() < mSerializeAfter || mHasRunLock) {
             return true;
         }
-        mHasTurn = mReports.tryBegin(fingerprint());
+        mHasRunLock = mReports.tryBegin(fingerprint());
         mKnownRecord = mReports.find(fingerprint());
-        return mHasTurn;
+        return mHasRunLock;
     }
 
     /**
@@ -130,7 +132,7 @@
 
     /**
      * Reports that the current run was abandoned because its caller disconnected. Copies of the
-     * request wait for their turn until it is known whether the upstream survives.
+     * request wait for the run lock until it is known whether the upstream survives.
      *
      * @param peer address of the upstream
      * @param isPlanned returns whether the upstream has announced its departure
@@ -139,14 +141,14 @@
      */
     public void abandoned(
             Peer peer, BooleanSupplier isPlanned, long resumePosition, long position) {
-        boolean hadTurn = mHasTurn;
-        mHasTurn = false;
+        boolean hadRunLock = mHasRunLock;
+        mHasRunLock = false;
         mReports.abandoned(
                 afterCrash(resumePosition, position),
                 peer,
                 isPlanned,
                 () -> {
-                    if (hadTurn) {
+                    if (hadRunLock) {
                         mReports.end(fingerprint());
                     }
                 });
@@ -164,10 +166,10 @@
         }
     }
 
-    /** Releases the turn, so that another copy of the request can run. */
+    /** Releases the run lock, so that another copy of the request can run. */
     @Override
     public void close() {
-        if (mHasTurn) {
+        if (mHasRunLock) {
             mReports.end(fingerprint());
         }
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/SharedTurns.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/RunLock.java
@@ -7,23 +7,23 @@
 
 /**
  * Mutual exclusion of the copies of a suspected request over all instances. Each instance requests
- * at most one turn per request at a time. Thread-safe.
+ * at most one run lock per request at a time. Thread-safe.
  */
-public interface SharedTurns {
-    /** Grants every turn, for an instance without peers. */
-    SharedTurns ALONE =
-            new SharedTurns() {
+public interface RunLock {
+    /** Grants every run lock, for an instance without peers. */
+    RunLock UNCOORDINATED =
+            new RunLock() {
                 @Override
                 public boolean tryTake(RequestFingerprint request) {
                     return true;
                 }
 
                 @Override
-                public void end(RequestFingerprint request) {}
+                public void release(RequestFingerprint request) {}
             };
 
     /**
-     * Acquires the turn to run a copy of a request.
+     * Acquires the lock to run a copy of a request.
      *
      * @param request fingerprint of the request
      * @return false if a copy may be running on another instance
@@ -31,9 +31,9 @@
     boolean tryTake(RequestFingerprint request);
 
     /**
-     * Releases a turn that was acquired.
+     * Releases a lock that was acquired.
      *
      * @param request fingerprint of the request
      */
-    void end(RequestFingerprint request);
+    void release(RequestFingerprint request);
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaOwner.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaOwner.java
@@ -117,23 +117,23 @@
     /**
      * Answers a request under the lease.
      *
-     * @param ask the request
+     * @param request the request
      * @param nowNanos monotonic time, not before that of the previous call
      * @return granted, too large, or exceeded with the time to retry after
      */
-    public QuotaAnswer ask(QuotaAsk ask, long nowNanos) {
+    public QuotaAnswer ask(QuotaRequest request, long nowNanos) {
         sweep(nowNanos);
-        Bucket bucket = mBuckets.computeIfAbsent(ask.key(), key -> newBucket(ask));
-        applyNewerLimit(bucket, ask);
+        Bucket bucket = mBuckets.computeIfAbsent(request.key(), key -> newBucket(request));
+        applyNewerLimit(bucket, request);
         bucket.advance(nowNanos);
         QuotaLimit limit = bucket.mLimit;
-        if (ask.units() > limit.burst() + limit.tolerance()) {
+        if (request.units() > limit.burst() + limit.tolerance()) {
             return QuotaAnswer.TOO_LARGE;
         }
         if (bucket.mUnits <= 0) {
-            return QuotaAnswer.exceeded(bucket.refuse(ask.units()));
+            return QuotaAnswer.exceeded(bucket.refuse(request.units()));
         }
-        bucket.grant(ask.units());
+        bucket.grant(request.units());
         return QuotaAnswer.GRANTED;
     }
 
@@ -182,26 +182,29 @@
     }
 
     /** Creates a bucket that counts as refilled since the lease began. */
-    private Bucket newBucket(QuotaAsk ask) {
+    private Bucket newBucket(QuotaRequest request) {
         Bucket bucket = new Bucket();
-        bucket.mLimit = ask.limit();
-        bucket.mVersion = ask.version();
-        bucket.mUnits = Math.min(ask.limit().burst(), initialShare(ask) * ask.limit().tolerance());
+        bucket.mLimit = request.limit();
+        bucket.mVersion = request.version();
+        bucket.mUnits =
+                Math.min(
+                        request.limit().burst(),
+                        initialShare(request) * request.limit().tolerance());
         bucket.mUpdatedNanos = mLeaseNanos;
         return bucket;
     }
 
     /** Returns the larger share only for the first change of the lease within a window. */
-    private double initialShare(QuotaAsk ask) {
-        boolean isFirst = mLeaseNanos - mPreviousLeaseNanos >= ask.limit().window().toNanos();
+    private double initialShare(QuotaRequest request) {
+        boolean isFirst = mLeaseNanos - mPreviousLeaseNanos >= request.limit().window().toNanos();
         return isFirst ? QuotaTolerance.FIRST_LEASE_SHARE : QuotaTolerance.LATER_LEASE_SHARE;
     }
 
     /** Applies the limit of the newest table, also to instances that do not have that table yet. */
-    private static void applyNewerLimit(Bucket bucket, QuotaAsk ask) {
-        if (ask.version() > bucket.mVersion) {
-            bucket.mVersion = ask.version();
-            bucket.mLimit = ask.limit();
+    private static void applyNewerLimit(Bucket bucket, QuotaRequest request) {
+        if (request.version() > bucket.mVersion) {
+            bucket.mVersion = request.version();
+            bucket.mLimit = request.limit();
         }
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaOwnerClient.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaOwnerClient.java
@@ -13,10 +13,10 @@
      * Requests units from the owner. If the answer arrives after the future was completed by
      * someone else, the units are returned.
      *
-     * @param ask the request
+     * @param request the request
      * @return future answer, which may never be completed
      */
-    CompletableFuture<QuotaAnswer> askOwner(QuotaAsk ask);
+    CompletableFuture<QuotaAnswer> askOwner(QuotaRequest request);
 
     /**
      * Returns units that the owner granted and that were not used.
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaAsk.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaRequest.java
@@ -13,13 +13,13 @@
  * @param version version of the table that states the limit
  * @param units number of units requested, at least 0
  */
-public record QuotaAsk(String key, QuotaLimit limit, long version, long units) {
+public record QuotaRequest(String key, QuotaLimit limit, long version, long units) {
     /**
      * Creates a request.
      *
      * @throws IllegalArgumentException if the units are negative
      */
-    public QuotaAsk {
+    public QuotaRequest {
         if (units < 0) {
             throw new IllegalArgumentException(
                     "invalid number of units: " + units + ", must be at least 0");
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaReserve.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaReserve.java
@@ -58,35 +58,35 @@
     /**
      * Answers a request without the lease.
      *
-     * @param ask the request
+     * @param request the request
      * @param voters number of voters, at least 1
      * @param nowNanos monotonic time, not before that of the previous call
      * @return granted offline, or that an owner is needed
      */
-    public QuotaAnswer ask(QuotaAsk ask, int voters, long nowNanos) {
-        long windowNanos = ask.limit().window().toNanos();
+    public QuotaAnswer ask(QuotaRequest request, int voters, long nowNanos) {
+        long windowNanos = request.limit().window().toNanos();
         if (!mIsFirstStart && nowNanos - mStartNanos < windowNanos) {
             return QuotaAnswer.NO_OWNER;
         }
-        Grants grants = grants(ask, nowNanos);
+        Grants grants = grants(request, nowNanos);
         grants.removeBefore(nowNanos - windowNanos);
-        double maxUnits = QuotaTolerance.RESERVE_SHARE * ask.limit().tolerance() / voters;
-        if (grants.mSum + ask.units() > maxUnits) {
+        double maxUnits = QuotaTolerance.RESERVE_SHARE * request.limit().tolerance() / voters;
+        if (grants.mSum + request.units() > maxUnits) {
             return QuotaAnswer.NO_OWNER;
         }
-        grants.add(new Grant(ask.units(), nowNanos));
+        grants.add(new Grant(request.units(), nowNanos));
         return QuotaAnswer.GRANTED_OFFLINE;
     }
 
     /** Drops keys without recent grants, since keys come and go with table versions. */
-    private Grants grants(QuotaAsk ask, long nowNanos) {
-        Grants grants = mGrants.get(ask.key());
+    private Grants grants(QuotaRequest request, long nowNanos) {
+        Grants grants = mGrants.get(request.key());
         if (grants == null) {
-            long oldestNanos = nowNanos - ask.limit().window().toNanos();
+            long oldestNanos = nowNanos - request.limit().window().toNanos();
             mGrants.values().forEach(other -> other.removeBefore(oldestNanos));
             mGrants.values().removeIf(other -> other.mOldestFirst.isEmpty());
             grants = new Grants();
-            mGrants.put(ask.key(), grants);
+            mGrants.put(request.key(), grants);
         }
         return grants;
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/SharedQuota.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/SharedQuota.java
@@ -31,20 +31,20 @@
      * Takes units. If the owner does not answer, the request is repeated once, and voters without
      * the lease may grant it.
      *
-     * @param ask the request
+     * @param request the request
      * @param timeout time to wait in each of the two attempts
      * @return granted; or not, with the time to retry after
      * @throws InterruptedException if the thread is interrupted
      */
-    public QuotaAnswer take(QuotaAsk ask, Duration timeout) throws InterruptedException {
-        QuotaAnswer answer = await(mOwner.askOwner(ask), timeout);
+    public QuotaAnswer take(QuotaRequest request, Duration timeout) throws InterruptedException {
+        QuotaAnswer answer = await(mOwner.askOwner(request), timeout);
         if (answer.outcome() != QuotaAnswer.Outcome.NO_OWNER) {
             return answer;
         }
-        QuotaAnswer retried = await(mOwner.askOwner(ask), timeout);
+        QuotaAnswer retried = await(mOwner.askOwner(request), timeout);
         LOG.debug(
                 "%s: quota owner did not answer; result of the second attempt: %s",
-                ask.key(), retried.outcome());
+                request.key(), retried.outcome());
         return retried;
     }
 
@@ -65,12 +65,12 @@
      * Returns units that were taken and not used. Units granted without the owner are not returned,
      * because its bucket never counted them.
      *
-     * @param ask the request that took the units
+     * @param request the request that took the units
      * @param answer the answer that granted them
      */
-    public void giveBack(QuotaAsk ask, QuotaAnswer answer) {
+    public void giveBack(QuotaRequest request, QuotaAnswer answer) {
         if (answer.outcome() == QuotaAnswer.Outcome.GRANTED) {
-            mOwner.giveBack(ask.key(), ask.units());
+            mOwner.giveBack(request.key(), request.units());
         }
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/EnginePlacer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/EnginePlacer.java
@@ -17,7 +17,7 @@
 import org.orchidmount.pacing.SendPermit;
 import org.orchidmount.relay.RequestProgress.Activity;
 import org.orchidmount.routes.Service;
-import org.orchidmount.routing.EnginePace;
+import org.orchidmount.routing.EngineSpeed;
 import org.orchidmount.routing.MemoryForecast;
 import org.orchidmount.routing.MemoryRule;
 import org.orchidmount.routing.MemoryWaitRule;
@@ -50,7 +50,7 @@
     private final Service mService;
     private final CancelSignal mCancel;
     private final RequestProgress mProgress;
-    private final OutputLengthEstimator.Stated mStatedLengths;
+    private final OutputLengthEstimator.StatedLength mStatedLengths;
     private final InFlightSequence mOutput;
     private final Duration mNewRequestWait;
     private Duration mMaxWait;
@@ -78,7 +78,7 @@
         mCancel = cancel;
         mProgress = progress;
         mStatedLengths =
-                new OutputLengthEstimator.Stated(
+                new OutputLengthEstimator.StatedLength(
                         prompt.expectedOutputTokens(), prompt.maxOutputTokens());
         context.outputLengths().observe(mStatedLengths);
         mOutput =
@@ -387,8 +387,8 @@
         return engineSpeed().requestMillis(mPrompt.tokens());
     }
 
-    private EnginePace engineSpeed() {
-        return mContext.speedEstimator(mService.name()).pace();
+    private EngineSpeed engineSpeed() {
+        return mContext.speedEstimator(mService.name()).speed();
     }
 
     private double memoryShare(String upstreamId) {
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Prefiller.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Prefiller.java
@@ -23,7 +23,7 @@
 import org.orchidmount.relay.RequestProgress.Activity;
 import org.orchidmount.relay.UpstreamCall.Phase;
 import org.orchidmount.routes.Service;
-import org.orchidmount.routing.EnginePace;
+import org.orchidmount.routing.EngineSpeed;
 import org.orchidmount.routing.PrefillRule;
 import org.orchidmount.routing.PrefillTimeoutRule;
 import org.orchidmount.routing.UpstreamCost;
@@ -129,8 +129,8 @@
         return Math.max(ownMillis, engineSpeed().prefillEngineMillis(tokens));
     }
 
-    private EnginePace engineSpeed() {
-        return mContext.speedEstimator(mService.name()).pace();
+    private EngineSpeed engineSpeed() {
+        return mContext.speedEstimator(mService.name()).speed();
     }
 
     /**
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Relay.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Relay.java
@@ -15,7 +15,7 @@
 import org.orchidmount.limits.WindowRetryBudget;
 import org.orchidmount.load.EngineLoads;
 import org.orchidmount.load.SequenceAnnouncer;
-import org.orchidmount.pacing.UpstreamPace;
+import org.orchidmount.pacing.UpstreamThrottle;
 import org.orchidmount.quarantine.CrashReports;
 import org.orchidmount.routes.Service;
 import org.orchidmount.routing.ClientRetryDetector;
@@ -47,7 +47,7 @@
             EngineLoads loads,
             SequenceAnnouncer announcer,
             CrashReports crashReports,
-            UpstreamPace upstreamLimits,
+            UpstreamThrottle upstreamLimits,
             HttpConnections connections,
             UpstreamProtocol protocol,
             MonotonicClock clock) {
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RelayContext.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RelayContext.java
@@ -26,12 +26,12 @@
 import org.orchidmount.membership.Incarnation;
 import org.orchidmount.membership.Registration.Stage;
 import org.orchidmount.pacing.SendPermit;
-import org.orchidmount.pacing.UpstreamPace;
 import org.orchidmount.pacing.UpstreamStatement;
+import org.orchidmount.pacing.UpstreamThrottle;
 import org.orchidmount.quarantine.CrashReports;
 import org.orchidmount.routes.Service;
 import org.orchidmount.routing.ClientRetryDetector;
-import org.orchidmount.routing.EnginePaceEstimator;
+import org.orchidmount.routing.EngineSpeedEstimator;
 import org.orchidmount.routing.OutputLengthEstimator;
 import org.orchidmount.upstream.CancelSignal;
 
@@ -56,13 +56,13 @@
         UpstreamDirectory upstreams,
         ConcurrentMap<String, RetryBudget> retryBudgets,
         Supplier<RetryBudget> newRetryBudget,
-        ConcurrentMap<String, EnginePaceEstimator> speedEstimators,
+        ConcurrentMap<String, EngineSpeedEstimator> speedEstimators,
         OutputLengthEstimator outputLengths,
         ClientRetryDetector clientRetries,
         EngineLoads loads,
         SequenceAnnouncer announcer,
         CrashReports crashReports,
-        UpstreamPace upstreamLimits,
+        UpstreamThrottle upstreamLimits,
         HttpConnections connections,
         UpstreamProtocol protocol,
         MonotonicClock clock) {
@@ -80,8 +80,8 @@
     }
 
     /** Returns the estimator of the speed of a service's engines, created on first use. */
-    EnginePaceEstimator speedEstimator(String service) {
-        return speedEstimators.computeIfAbsent(service, name -> new EnginePaceEstimator());
+    EngineSpeedEstimator speedEstimator(String service) {
+        return speedEstimators.computeIfAbsent(service, name -> new EngineSpeedEstimator());
     }
 
     /** Updates the health of an upstream after a failed call, unless the request was cancelled. */
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RequestRelay.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RequestRelay.java
@@ -25,7 +25,7 @@
 import org.orchidmount.routes.Service;
 import org.orchidmount.routing.AttemptOutcome;
 import org.orchidmount.routing.AttemptRule;
-import org.orchidmount.routing.EnginePace;
+import org.orchidmount.routing.EngineSpeed;
 import org.orchidmount.routing.FinalOutcome;
 import org.orchidmount.routing.RetryAfter;
 import org.orchidmount.routing.UpstreamCost;
@@ -354,8 +354,8 @@
         return RetryAfter.engines(engineSpeed(), ThreadLocalRandom.current());
     }
 
-    private EnginePace engineSpeed() {
-        return mContext.speedEstimator(mService.name()).pace();
+    private EngineSpeed engineSpeed() {
+        return mContext.speedEstimator(mService.name()).speed();
     }
 
     /** Returns the requests per second that an upstream without a limit is expected to accept. */
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/SequenceTracker.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/SequenceTracker.java
@@ -9,7 +9,7 @@
 import org.orchidmount.clock.Millis;
 import org.orchidmount.load.InFlightSequence;
 import org.orchidmount.routes.Service;
-import org.orchidmount.routing.EnginePaceEstimator;
+import org.orchidmount.routing.EngineSpeedEstimator;
 
 /**
  * Announces the sequences of one request that engines work on, and estimates the speed of the
@@ -24,7 +24,7 @@
     private static final int MIN_EVENTS = 8;
 
     private final RelayContext mContext;
-    private final EnginePaceEstimator mSpeedEstimator;
+    private final EngineSpeedEstimator mSpeedEstimator;
     private final int mEventTokens;
     private final AtomicInteger mGeneratedTokens = new AtomicInteger();
     private int mPlacements;
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/EnginePace.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/EngineSpeed.java
@@ -15,7 +15,7 @@
  * @param firstTokenMillis time from the choice of a decode engine to the first token
  * @param outputMillis time from the first token of an output to its last
  */
-public record EnginePace(
+public record EngineSpeed(
         double prefillMillisPerToken,
         double decodePrefillMillisPerToken,
         double outputTokensPerMilli,
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/EnginePaceEstimator.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/EngineSpeedEstimator.java
@@ -6,7 +6,7 @@
 package org.orchidmount.routing;
 
 /**
- * Estimates the {@link EnginePace} of one service from the requests that pass through this
+ * Estimates the {@link EngineSpeed} of one service from the requests that pass through this
  * instance.
  *
  * <p>The estimate starts from a prior that counts as one observation; some 15 observations are
@@ -15,7 +15,7 @@
  * but not known here make a prefill appear slower than it is, but never faster, so slow prefills
  * are given less weight. Thread-safe.
  */
-public final class EnginePaceEstimator {
+public final class EngineSpeedEstimator {
     /** Prior for the prefill time per prompt token, in milliseconds: 50 tokens per ms. */
     private static final double PRIOR_PREFILL_MILLIS_PER_TOKEN = 0.02;
 
@@ -50,24 +50,24 @@
     private final LogMean mFirstTokenMillis = new LogMean(PRIOR_FIRST_TOKEN_MILLIS, 1);
     private final LogMean mOutputMillis = new LogMean(PRIOR_OUTPUT_MILLIS, 1);
 
-    private volatile EnginePace mPace = learned();
+    private volatile EngineSpeed mSpeed = learned();
 
     /**
      * Returns the current estimate.
      *
      * @return the estimated speed; the prior before the first observation
      */
-    public EnginePace pace() {
-        return mPace;
+    public EngineSpeed speed() {
+        return mSpeed;
     }
 
-    private EnginePace learned() {
+    private EngineSpeed learned() {
         double prefill = mPrefillMillisPerToken.value();
         double decodePrefill =
                 mDecodePrefillMillisPerToken.isObserved()
                         ? mDecodePrefillMillisPerToken.value()
                         : DECODE_PREFILL_FACTOR * prefill;
-        return new EnginePace(
+        return new EngineSpeed(
                 prefill,
                 decodePrefill,
                 mOutputTokensPerMilli.value(),
@@ -118,7 +118,7 @@
     private void observe(LogMean mean, double dividend, double divisor) {
         if (dividend > 0 && divisor > 0) {
             mean.observe(dividend / divisor);
-            mPace = learned();
+            mSpeed = learned();
         }
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/OutputLengthEstimator.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/OutputLengthEstimator.java
@@ -40,16 +40,16 @@
      * @param expectedTokens the caller's estimate; 0 if it states none
      * @param maxTokens the caller's limit; 0 if it states none
      */
-    public record Stated(int expectedTokens, int maxTokens) {}
+    public record StatedLength(int expectedTokens, int maxTokens) {}
 
     /**
      * Adds the stated estimate of a new request to the mean; ignored if there is none.
      *
-     * @param stated what the caller states
+     * @param statedLength what the caller states
      */
-    public synchronized void observe(Stated stated) {
-        if (stated.expectedTokens() > 0) {
-            double expected = Math.log(stated.expectedTokens());
+    public synchronized void observe(StatedLength statedLength) {
+        if (statedLength.expectedTokens() > 0) {
+            double expected = Math.log(statedLength.expectedTokens());
             double mean = mLogMean == 0 ? expected : mLogMean;
             mLogMean = mean + SMOOTHING * (expected - mean);
         }
@@ -58,21 +58,21 @@
     /**
      * Returns the median of the predicted output length.
      *
-     * @param stated what the caller states
+     * @param statedLength what the caller states
      * @return tokens
      */
-    public int expect(Stated stated) {
-        return bounded(blended(stated), stated);
+    public int expect(StatedLength statedLength) {
+        return bounded(blended(statedLength), statedLength);
     }
 
     /**
      * Returns the output tokens for which to reserve memory.
      *
-     * @param stated what the caller states
+     * @param statedLength what the caller states
      * @return tokens
      */
-    public int reserve(Stated stated) {
-        return bounded(RESERVE_FACTOR * blended(stated), stated);
+    public int reserve(StatedLength statedLength) {
+        return bounded(RESERVE_FACTOR * blended(statedLength), statedLength);
     }
 
     /**
@@ -90,14 +90,15 @@
         return requestTokens / mMeanRequestTokens;
     }
 
-    private static int bounded(double tokens, Stated stated) {
-        int max = stated.maxTokens() > 0 ? stated.maxTokens() : Integer.MAX_VALUE;
+    private static int bounded(double tokens, StatedLength statedLength) {
+        int max = statedLength.maxTokens() > 0 ? statedLength.maxTokens() : Integer.MAX_VALUE;
         return (int) Math.clamp(tokens, Math.min(MIN_TOKENS, max), max);
     }
 
-    private synchronized double blended(Stated stated) {
+    private synchronized double blended(StatedLength statedLength) {
         double mean = mLogMean == 0 ? Math.log(DEFAULT_TOKENS) : mLogMean;
-        double expected = stated.expectedTokens() > 0 ? Math.log(stated.expectedTokens()) : mean;
+        double expected =
+                statedLength.expectedTokens() > 0 ? Math.log(statedLength.expectedTokens()) : mean;
         return Math.exp(OWN_WEIGHT * expected + (1 - OWN_WEIGHT) * mean);
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/PrefillRule.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/PrefillRule.java
@@ -15,7 +15,7 @@
  * with token generation, so that its other streams pause. It therefore prefills only if no prefill
  * engine is available, or if the prefill engines are busy and the decode engine is nearly idle.
  * Always prefilling on decode engines gave worse results in trials. Prefill times are estimated
- * from observations ({@link EnginePace}).
+ * from observations ({@link EngineSpeed}).
  */
 public final class PrefillRule {
     /** Fraction of the latency target above which an idle decode engine is preferred. */
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/RetryAfter.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/RetryAfter.java
@@ -92,13 +92,13 @@
      * Returns the retry time for a request that no engine had room for: by then, most of the
      * outputs in progress have ended.
      *
-     * @param pace measured speed of the engines
+     * @param speed measured speed of the engines
      * @param random random source for spreading retries
      * @return time after which the caller should retry
      */
-    public static Duration engines(EnginePace pace, RandomGenerator random) {
+    public static Duration engines(EngineSpeed speed, RandomGenerator random) {
         double millis =
-                pace.outputMillis() * (OUTPUTS_ENDED_FACTOR + SPREAD_SHARE * random.nextDouble());
+                speed.outputMillis() * (OUTPUTS_ENDED_FACTOR + SPREAD_SHARE * random.nextDouble());
         return Duration.ofNanos((long) Millis.toNanos(millis));
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/package-info.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/package-info.java
@@ -8,7 +8,7 @@
  * units and rationale. {@code docs/DECISIONS.md} maps each question to its class.
  *
  * <p>Pure: no I/O, no threads, no clock; times are passed in as monotonic nanoseconds. Only {@code
- * ClientRetryDetector}, {@code EnginePaceEstimator} and {@code OutputLengthEstimator} keep
+ * ClientRetryDetector}, {@code EngineSpeedEstimator} and {@code OutputLengthEstimator} keep
  * observations; {@code ClientRetryDetector} also reads a clock.
  *
  * <p>There are two families. The rules for upstreams that register themselves ({@code
