--- a/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/CompletionRun.java
+++ b/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/CompletionRun.java
@@ -99,7 +99,7 @@
     }
 
     private void makeAttempts() throws IOException, TimeoutException, InterruptedException {
-        mParts.retries().countRequest();
+        mParts.retries().recordRequest();
         while (true) {
             if (!mGuard.mayRun()) {
                 finish(mayNotRun());
@@ -186,7 +186,7 @@
 
     private boolean mayRetry() {
         return !TableAttemptRule.takesFromBudget(mAttempt, mDelivered)
-                || mParts.retries().tryTake();
+                || mParts.retries().tryAcquire();
     }
 
     private Failure serve(Reservation reservation) throws InterruptedException {
--- a/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/PlainForwarder.java
+++ b/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/PlainForwarder.java
@@ -61,7 +61,7 @@
     private final Parts mParts;
     private final Duration mWriteTimeout;
     private final Duration mBodyTimeout;
-    private final UnreadableStatements mUnreadable = UnreadableStatements.ofTimesToComeBack();
+    private final UnreadableStatements mUnreadable = UnreadableStatements.ofRetryTimes();
 
     PlainForwarder(Parts parts) {
         mParts = parts;
@@ -119,7 +119,7 @@
             mayHaveRun |= last.mayHaveRun();
             failed.add(peer.name());
             boolean resendable = TableAttemptRule.mayResendPlain(held, last);
-            if (!resendable || !mParts.retries().tryTake()) {
+            if (!resendable || !mParts.retries().tryAcquire()) {
                 break;
             }
         }
@@ -147,13 +147,13 @@
                                 StatusCodes.SERVICE_UNAVAILABLE,
                                 "no_upstream",
                                 message,
-                                comeBackAfterMillis(route));
+                                retryAfterMillis(route));
         count(refusal.outcome());
         Answers.refuse(exchange, id, refusal, mWriteTimeout);
     }
 
     /** Returns when to come back: not before an upstream of the route takes work. */
-    long comeBackAfterMillis(RouteRow route) {
+    long retryAfterMillis(RouteRow route) {
         Duration untilPauseEnds = mParts.board().untilPauseEnds(route.pool());
         return Math.max(RetryAfter.TABLE_MILLIS, untilPauseEnds.toMillis());
     }
--- a/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/PlainHandler.java
+++ b/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/PlainHandler.java
@@ -73,7 +73,7 @@
         try {
             if (route.repeatable()) {
                 exchange.onGone(() -> cancel.cancel(CancelSignal.Reason.CALLER_GONE));
-                mParts.retries().countRequest();
+                mParts.retries().recordRequest();
                 mForwarder.forward(exchange, id, route, cancel);
             } else {
                 callOnce(exchange, id, identity, route);
@@ -93,7 +93,8 @@
                     Messages.STOPPING,
                     RetryAfter.TABLE_MILLIS);
         }
-        long waitMillis = mParts.limits().takeRate(identity.account(), mParts.clock().nanoTime());
+        long waitMillis =
+                mParts.limits().tryAcquireRate(identity.account(), mParts.clock().nanoTime());
         if (waitMillis > 0) {
             throw notNow(
                     StatusCodes.TOO_MANY_REQUESTS, "rate_limit", Messages.RATE_LIMIT, waitMillis);
@@ -108,7 +109,7 @@
                                 "class " + identity.requestClass().name(),
                                 identity.requestClass().maxRunning()),
                         new Limit("pool " + route.pool(), mostInPool));
-        Optional<Limit> reached = mParts.limits().tryHold(limits);
+        Optional<Limit> reached = mParts.limits().tryAcquire(limits);
         if (reached.isPresent()) {
             throw notNow(
                     StatusCodes.TOO_MANY_REQUESTS,
@@ -186,7 +187,7 @@
                                     StatusCodes.SERVICE_UNAVAILABLE,
                                     "no_upstream",
                                     Messages.NO_UPSTREAM.formatted("the route"),
-                                    mForwarder.comeBackAfterMillis(route));
+                                    mForwarder.retryAfterMillis(route));
                     case ClaimResult.Mismatch _ ->
                             Refusal.bad(
                                     StatusCodes.UNPROCESSABLE_ENTITY,
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/QuotaRequestsTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/QuotaRequestsTest.java
@@ -105,7 +105,7 @@
     }
 
     private Outcome take(Duration longest) {
-        return mEntry.askOwner(ASK)
+        return mEntry.requestUnits(ASK)
                 .completeOnTimeout(QuotaAnswer.NO_OWNER, longest.toMillis(), TimeUnit.MILLISECONDS)
                 .join()
                 .outcome();
@@ -126,7 +126,7 @@
         entry(owner);
         Await.until("granted", LONGEST, () -> take(LONGEST) == Outcome.GRANTED);
         mSeen.clear();
-        QuotaAnswer answer = mEntry.countingOwner().askOwner(ASK).join();
+        QuotaAnswer answer = mEntry.countingOwner().requestUnits(ASK).join();
         assertThat(answer.outcome()).isEqualTo(Outcome.NO_OWNER);
         assertThat(mSeen).isEmpty();
     }
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/UpstreamLimitRecordsTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/UpstreamLimitRecordsTest.java
@@ -154,7 +154,8 @@
     }
 
     private static boolean isGranted(EntryNode entry) {
-        return entry.countingOwner().askOwner(ASK).join().outcome() == QuotaAnswer.Outcome.GRANTED;
+        return entry.countingOwner().requestUnits(ASK).join().outcome()
+                == QuotaAnswer.Outcome.GRANTED;
     }
 
     /** An instance that tells no capabilities is sent no frame that it does not know. */
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/VoterNodeTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/VoterNodeTest.java
@@ -158,7 +158,7 @@
             assertThat(take(mEntry, "a", BURST + 1)).isEqualTo(QuotaAnswer.Outcome.GRANTED);
             assertThat(take(other, "a", 1)).isEqualTo(QuotaAnswer.Outcome.EXCEEDED);
             assertThat(take(other, "b", 1)).isEqualTo(QuotaAnswer.Outcome.GRANTED);
-            mEntry.giveBack("a", BURST + 1);
+            mEntry.refund("a", BURST + 1);
             awaitGrant(other, "a");
         }
     }
@@ -180,7 +180,7 @@
 
     private static QuotaAnswer.Outcome take(EntryNode entry, String key, long units) {
         CompletableFuture<QuotaAnswer> answer =
-                entry.askOwner(new QuotaRequest(key, LIMIT, 1, units));
+                entry.requestUnits(new QuotaRequest(key, LIMIT, 1, units));
         return answer.completeOnTimeout(
                         QuotaAnswer.NO_OWNER, LONGEST.toMillis(), TimeUnit.MILLISECONDS)
                 .join()
--- a/org.orchidmount.test/src/test/java/org/orchidmount/limits/LocalLimitsTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/limits/LocalLimitsTest.java
@@ -24,8 +24,8 @@
     void holdsAllLimitsOrNone() {
         LocalLimits limits = new LocalLimits();
         List<Limit> both = List.of(new Limit("account a", 2), new Limit("pool p", 1));
-        assertThat(limits.tryHold(both)).isEmpty();
-        assertThat(limits.tryHold(both)).isEqualTo(Optional.of(new Limit("pool p", 1)));
+        assertThat(limits.tryAcquire(both)).isEmpty();
+        assertThat(limits.tryAcquire(both)).isEqualTo(Optional.of(new Limit("pool p", 1)));
         assertThat(limits.running("account a")).isEqualTo(1);
         limits.release(both);
         assertThat(limits.all()).isEmpty();
@@ -36,12 +36,12 @@
         LocalLimits limits = new LocalLimits();
         AccountRow account = new AccountRow("a", "0".repeat(64), "c", 1, 0, 4);
         for (int i = 0; i < 4; i++) {
-            assertThat(limits.takeRate(account, 0)).isEqualTo(0);
+            assertThat(limits.tryAcquireRate(account, 0)).isEqualTo(0);
         }
-        assertThat(limits.takeRate(account, 0)).isEqualTo(250);
-        assertThat(limits.takeRate(account, SECOND / 4)).isEqualTo(0);
-        assertThat(limits.takeRate(account, SECOND / 4)).isEqualTo(250);
-        assertThat(limits.takeRate(account, 100 * SECOND)).isEqualTo(0);
+        assertThat(limits.tryAcquireRate(account, 0)).isEqualTo(250);
+        assertThat(limits.tryAcquireRate(account, SECOND / 4)).isEqualTo(0);
+        assertThat(limits.tryAcquireRate(account, SECOND / 4)).isEqualTo(250);
+        assertThat(limits.tryAcquireRate(account, 100 * SECOND)).isEqualTo(0);
     }
 
     @ParameterizedTest
@@ -50,11 +50,11 @@
         TokenBucketRetryBudget budget = new TokenBucketRetryBudget(percent);
         int retries = 0;
         for (int i = 0; i < 100; i++) {
-            budget.countRequest();
-            retries += budget.tryTake() ? 1 : 0;
+            budget.recordRequest();
+            retries += budget.tryAcquire() ? 1 : 0;
         }
         for (int i = 0; i < 100; i++) {
-            retries += budget.tryTake() ? 1 : 0;
+            retries += budget.tryAcquire() ? 1 : 0;
         }
         assertThat(retries).isIn(Range.closed(expected * 9 / 10, expected));
     }
--- a/org.orchidmount.test/src/test/java/org/orchidmount/limits/WindowRetryBudgetTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/limits/WindowRetryBudgetTest.java
@@ -31,7 +31,7 @@
     void requestsEarnTheirShare() {
         mClock.advance(Duration.ofSeconds(1));
         for (int i = 0; i < 100; i++) {
-            budget("s").countRequest();
+            budget("s").recordRequest();
         }
         assertThat(takeAll("s", 10, SECOND)).isEqualTo(18);
     }
@@ -49,9 +49,9 @@
     @Test
     void whatIsGivenBackCanBeTakenAgain() {
         assertThat(takeAll("s", 1, SECOND)).isEqualTo(30);
-        budget("s").giveBack();
+        budget("s").refund();
         assertThat(takeAll("s", 1, SECOND)).isEqualTo(1);
-        budget("t").giveBack();
+        budget("t").refund();
         assertThat(takeAll("t", 1, SECOND)).isEqualTo(30);
     }
 
@@ -59,7 +59,7 @@
         mInstances = instances;
         mClock.advance(Duration.ofNanos(nowNanos - mClock.nanoTime()));
         int taken = 0;
-        while (budget(service).tryTake()) {
+        while (budget(service).tryAcquire()) {
             taken++;
         }
         return taken;
--- a/org.orchidmount.test/src/test/java/org/orchidmount/pacing/SimulatedUpstream.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/pacing/SimulatedUpstream.java
@@ -140,7 +140,7 @@
         }
 
         @Override
-        public CompletableFuture<QuotaAnswer> askOwner(QuotaRequest request) {
+        public CompletableFuture<QuotaAnswer> requestUnits(QuotaRequest request) {
             mMessages += 2;
             return CompletableFuture.completedFuture(answer(request));
         }
@@ -158,7 +158,7 @@
         }
 
         @Override
-        public void giveBack(String key, long units) {}
+        public void refund(String key, long units) {}
     }
 
     /** Plays a schedule. */
@@ -201,7 +201,7 @@
     private boolean mayBeSent(int entry) throws InterruptedException {
         long nowNanos = mClock.nanoTime();
         return switch (mPlan.way()) {
-            case OWNER -> mEntries.get(entry).take(UPSTREAM, TARGET).isGranted();
+            case OWNER -> mEntries.get(entry).acquire(UPSTREAM, TARGET).isGranted();
             case EACH ->
                     mOwnBuckets
                             .get(entry)
--- a/org.orchidmount.test/src/test/java/org/orchidmount/pacing/UpstreamPausesTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/pacing/UpstreamPausesTest.java
@@ -44,12 +44,12 @@
     /** No limit is stated here, so nobody is asked. */
     private static final class NoOwner implements QuotaOwnerClient {
         @Override
-        public CompletableFuture<QuotaAnswer> askOwner(QuotaRequest request) {
+        public CompletableFuture<QuotaAnswer> requestUnits(QuotaRequest request) {
             throw new AssertionError("asked for " + request);
         }
 
         @Override
-        public void giveBack(String key, long units) {
+        public void refund(String key, long units) {
             throw new AssertionError("given back " + key);
         }
     }
@@ -80,13 +80,13 @@
         states(UPSTREAM, PauseStatement.NONE);
         states(UPSTREAM, new PauseStatement.Unreadable("soon"));
         mClock.advance(Duration.ofMillis((long) (1_000 * (end - again)) - 1));
-        assertThat(mThrottle.passedOver()).containsExactly("i-1");
-        assertThat(mThrottle.take(UPSTREAM, TARGET).isGranted()).isFalse();
-        assertThat(mThrottle.refusedBy(UPSTREAM)).isTrue();
+        assertThat(mThrottle.excludedUpstreams()).containsExactly("i-1");
+        assertThat(mThrottle.acquire(UPSTREAM, TARGET).isGranted()).isFalse();
+        assertThat(mThrottle.recordRefusal(UPSTREAM)).isTrue();
         mClock.advance(Duration.ofMillis(1));
-        assertThat(mThrottle.passedOver()).isEmpty();
-        assertThat(mThrottle.take(UPSTREAM, TARGET).isGranted()).isTrue();
-        assertThat(mThrottle.refusedBy(UPSTREAM)).isFalse();
+        assertThat(mThrottle.excludedUpstreams()).isEmpty();
+        assertThat(mThrottle.acquire(UPSTREAM, TARGET).isGranted()).isTrue();
+        assertThat(mThrottle.recordRefusal(UPSTREAM)).isFalse();
     }
 
     @ParameterizedTest
@@ -113,9 +113,8 @@
         states(UPSTREAM, seconds(20));
         states(OTHER, seconds(10));
         List<Incarnation> both = List.of(UPSTREAM, OTHER);
-        assertThat(mThrottle.comeBackAfter("s", both, 5, PATIENCE))
-                .isEqualTo(Duration.ofSeconds(10));
-        assertThat(mThrottle.comeBackAfter("s", both, 5, PATIENCE))
+        assertThat(mThrottle.retryAfter("s", both, 5, PATIENCE)).isEqualTo(Duration.ofSeconds(10));
+        assertThat(mThrottle.retryAfter("s", both, 5, PATIENCE))
                 .isEqualTo(Duration.ofMillis(10_100));
     }
 }
--- a/org.orchidmount.test/src/test/java/org/orchidmount/pacing/UpstreamThrottleTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/pacing/UpstreamThrottleTest.java
@@ -54,15 +54,15 @@
         private int mAsked;
 
         @Override
-        public CompletableFuture<QuotaAnswer> askOwner(QuotaRequest request) {
+        public CompletableFuture<QuotaAnswer> requestUnits(QuotaRequest request) {
             mAsked++;
             return CompletableFuture.completedFuture(
                     mIsSilent ? QuotaAnswer.NO_OWNER : mBuckets.ask(request, mClock.nanoTime()));
         }
 
         @Override
-        public void giveBack(String key, long units) {
-            mBuckets.giveBack(key, units, mClock.nanoTime());
+        public void refund(String key, long units) {
+            mBuckets.refund(key, units, mClock.nanoTime());
         }
     }
 
@@ -77,7 +77,7 @@
     }
 
     private boolean take() throws InterruptedException {
-        return mThrottle.take(UPSTREAM, TARGET).isGranted();
+        return mThrottle.acquire(UPSTREAM, TARGET).isGranted();
     }
 
     /** Takes what there is now. */
@@ -96,7 +96,7 @@
             assertThat(take()).isTrue();
         }
         assertThat(mOwner.mAsked).isEqualTo(0);
-        assertThat(mThrottle.passedOver()).isEmpty();
+        assertThat(mThrottle.excludedUpstreams()).isEmpty();
     }
 
     @Test
@@ -104,21 +104,21 @@
         names(UPSTREAM, 4);
         takeAll();
         int asked = mOwner.mAsked;
-        assertThat(mThrottle.passedOver()).containsExactly("i-1");
+        assertThat(mThrottle.excludedUpstreams()).containsExactly("i-1");
         assertThat(take()).isFalse();
         assertThat(mOwner.mAsked).isEqualTo(asked);
         mClock.advance(Duration.ofMillis(600));
-        assertThat(mThrottle.passedOver()).isEmpty();
+        assertThat(mThrottle.excludedUpstreams()).isEmpty();
         assertThat(take()).isTrue();
     }
 
     @Test
     void whatWasNotSentIsGivenBack() throws InterruptedException {
         names(UPSTREAM, 4);
-        SendPermit permit = mThrottle.take(UPSTREAM, TARGET);
+        SendPermit permit = mThrottle.acquire(UPSTREAM, TARGET);
         takeAll();
-        mThrottle.giveBack(permit);
-        mThrottle.giveBack(SendPermit.FREE);
+        mThrottle.refund(permit);
+        mThrottle.refund(SendPermit.FREE);
         names(UPSTREAM, 8);
         assertThat(takeAll()).isAtLeast(1);
     }
@@ -141,7 +141,7 @@
         names(UPSTREAM, 1);
         takeAll();
         names(UPSTREAM, 50);
-        assertThat(mThrottle.passedOver()).isEmpty();
+        assertThat(mThrottle.excludedUpstreams()).isEmpty();
         mClock.advance(Duration.ofMillis(100));
         assertThat(take()).isTrue();
         observe(UPSTREAM, LimitStatement.NONE, true);
@@ -155,13 +155,13 @@
     void aChangeThatAnotherInstanceTellsCountsAtOnce(double perSecond) throws InterruptedException {
         names(UPSTREAM, 0.25);
         takeAll();
-        assertThat(mThrottle.passedOver()).containsExactly("i-1");
+        assertThat(mThrottle.excludedUpstreams()).containsExactly("i-1");
         OptionalDouble told =
                 Double.isInfinite(perSecond)
                         ? OptionalDouble.empty()
                         : OptionalDouble.of(perSecond);
         mLimits.merge(List.of(new UpstreamLimit(UPSTREAM, told, 2, "there")));
-        assertThat(mThrottle.passedOver()).isEmpty();
+        assertThat(mThrottle.excludedUpstreams()).isEmpty();
         mClock.advance(Duration.ofMillis(100));
         assertThat(take()).isTrue();
     }
@@ -218,8 +218,8 @@
     @Test
     void oneThatRefusesHasNoRoom() throws InterruptedException {
         names(UPSTREAM, 4);
-        assertThat(mThrottle.refusedBy(OTHER)).isFalse();
-        assertThat(mThrottle.refusedBy(UPSTREAM)).isTrue();
+        assertThat(mThrottle.recordRefusal(OTHER)).isFalse();
+        assertThat(mThrottle.recordRefusal(UPSTREAM)).isTrue();
         assertThat(take()).isFalse();
         mClock.advance(Duration.ofMillis(251));
         assertThat(take()).isTrue();
@@ -240,9 +240,9 @@
                         Registration.Stage.NONE,
                         Registration.State.READY,
                         1));
-        assertThat(mThrottle.passedOver()).isEmpty();
+        assertThat(mThrottle.excludedUpstreams()).isEmpty();
         assertThat(mLimits.isEmpty()).isTrue();
-        assertThat(mThrottle.take(next, TARGET).isGranted()).isTrue();
+        assertThat(mThrottle.acquire(next, TARGET).isGranted()).isTrue();
     }
 
     /**
@@ -254,9 +254,9 @@
         names(OTHER, 3);
         takeAll();
         List<Incarnation> both = List.of(UPSTREAM, OTHER);
-        Duration first = mThrottle.comeBackAfter("s", both, 0, PATIENCE);
-        Duration second = mThrottle.comeBackAfter("s", both, 0, PATIENCE);
-        Duration third = mThrottle.comeBackAfter("s", both, 0, PATIENCE);
+        Duration first = mThrottle.retryAfter("s", both, 0, PATIENCE);
+        Duration second = mThrottle.retryAfter("s", both, 0, PATIENCE);
+        Duration third = mThrottle.retryAfter("s", both, 0, PATIENCE);
         assertThat(second.minus(first)).isEqualTo(Duration.ofSeconds(1));
         assertThat(third.minus(second)).isEqualTo(Duration.ofSeconds(1));
     }
@@ -267,10 +267,10 @@
     void onlyThoseWhoCanWaitTakePlacesInTheQueue(int refused, int seconds) {
         names(UPSTREAM, 4);
         for (int i = 0; i < refused; i++) {
-            mThrottle.comeBackAfter("s", List.of(UPSTREAM), 0, PATIENCE);
+            mThrottle.retryAfter("s", List.of(UPSTREAM), 0, PATIENCE);
         }
         mClock.advance(Duration.ofSeconds(seconds));
-        assertThat(mThrottle.comeBackAfter("s", List.of(UPSTREAM), 0, PATIENCE))
+        assertThat(mThrottle.retryAfter("s", List.of(UPSTREAM), 0, PATIENCE))
                 .isAtMost(Duration.ofSeconds(2));
     }
 }
--- a/org.orchidmount.test/src/test/java/org/orchidmount/quarantine/QuotaRunLockTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/quarantine/QuotaRunLockTest.java
@@ -35,7 +35,7 @@
         private long mAnswersAfterMillis;
 
         @Override
-        public CompletableFuture<QuotaAnswer> askOwner(QuotaRequest request) {
+        public CompletableFuture<QuotaAnswer> requestUnits(QuotaRequest request) {
             QuotaAnswer answer =
                     mIsSilent ? QuotaAnswer.NO_OWNER : mBuckets.ask(request, mClock.nanoTime());
             return mAnswersAfterMillis == 0
@@ -45,8 +45,8 @@
         }
 
         @Override
-        public void giveBack(String key, long units) {
-            mBuckets.giveBack(key, units, mClock.nanoTime());
+        public void refund(String key, long units) {
+            mBuckets.refund(key, units, mClock.nanoTime());
         }
     }
 
@@ -58,44 +58,44 @@
 
     @Test
     void oneHasTheTurnUntilItsEnd() {
-        assertThat(mOne.tryTake(REQUEST)).isTrue();
-        assertThat(mTwo.tryTake(REQUEST)).isFalse();
-        assertThat(mTwo.tryTake(OTHER)).isTrue();
+        assertThat(mOne.tryAcquire(REQUEST)).isTrue();
+        assertThat(mTwo.tryAcquire(REQUEST)).isFalse();
+        assertThat(mTwo.tryAcquire(OTHER)).isTrue();
         mOne.release(REQUEST);
-        assertThat(mTwo.tryTake(REQUEST)).isTrue();
-        assertThat(mOne.tryTake(REQUEST)).isFalse();
+        assertThat(mTwo.tryAcquire(REQUEST)).isTrue();
+        assertThat(mOne.tryAcquire(REQUEST)).isFalse();
     }
 
     /** An instance that ends with its run lock holds up nobody for long. */
     @Test
     void aTurnThatIsNotEndedComesBackByItself() {
-        assertThat(mOne.tryTake(REQUEST)).isTrue();
+        assertThat(mOne.tryAcquire(REQUEST)).isTrue();
         mClock.advance(Duration.ofMillis(1_001));
-        assertThat(mTwo.tryTake(REQUEST)).isTrue();
+        assertThat(mTwo.tryAcquire(REQUEST)).isTrue();
         mOne.release(REQUEST);
         mOne.release(REQUEST);
     }
 
     @Test
     void onlyATurnThatWasTakenIsEnded() {
-        assertThat(mOne.tryTake(REQUEST)).isTrue();
+        assertThat(mOne.tryAcquire(REQUEST)).isTrue();
         mTwo.release(REQUEST);
-        assertThat(mTwo.tryTake(REQUEST)).isFalse();
+        assertThat(mTwo.tryAcquire(REQUEST)).isFalse();
     }
 
     /** Guards against two copies that run at once because a busy owner was taken for none. */
     @Test
     void anOwnerThatIsSlowIsWaitedFor() {
         mOwner.mAnswersAfterMillis = 120;
-        assertThat(mOne.tryTake(REQUEST)).isTrue();
-        assertThat(mTwo.tryTake(REQUEST)).isFalse();
+        assertThat(mOne.tryAcquire(REQUEST)).isTrue();
+        assertThat(mTwo.tryAcquire(REQUEST)).isFalse();
     }
 
     @Test
     void withoutAnOwnerEachGivesTurnsByItself() {
         mOwner.mIsSilent = true;
-        assertThat(mOne.tryTake(REQUEST)).isTrue();
-        assertThat(mTwo.tryTake(REQUEST)).isTrue();
+        assertThat(mOne.tryAcquire(REQUEST)).isTrue();
+        assertThat(mTwo.tryAcquire(REQUEST)).isTrue();
         mOne.release(REQUEST);
     }
 }
--- a/org.orchidmount.test/src/test/java/org/orchidmount/quota/QuotaOwnerTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/quota/QuotaOwnerTest.java
@@ -88,8 +88,8 @@
     void theTimeToComeBackIsWhenThereIsRoomOneAfterTheOther() {
         mOwner.hold(1, 0, 0);
         ask(2_000, START);
-        Duration first = ask(500, START).comeBackAfter();
-        Duration second = ask(500, START).comeBackAfter();
+        Duration first = ask(500, START).retryAfter();
+        Duration second = ask(500, START).retryAfter();
         assertThat(first).isEqualTo(Duration.ofMillis(500));
         assertThat(second).isEqualTo(Duration.ofMillis(1_000));
         assertThat(ask(500, START + first.toNanos()).isGranted()).isTrue();
@@ -99,9 +99,9 @@
     void whatIsGivenBackCanBeUsedAgain() {
         mOwner.hold(1, 0, 0);
         ask(2_000, START);
-        mOwner.giveBack("a", 2_000, START);
+        mOwner.refund("a", 2_000, START);
         assertThat(ask(2_000, START).isGranted()).isTrue();
-        mOwner.giveBack("a", 9_000, START);
+        mOwner.refund("a", 9_000, START);
         assertThat(ask(2_000, START).isGranted()).isTrue();
         assertThat(ask(1, START).isGranted()).isFalse();
     }
@@ -151,10 +151,10 @@
         mOwner.hold(1, 0, 0);
         ask(2_000, START);
         mOwner.ask(new QuotaRequest("b", LIMIT, 1, 5), START);
-        assertThat(mOwner.takeUses()).isEmpty();
+        assertThat(mOwner.drainUses()).isEmpty();
         ask(7, START);
-        assertThat(mOwner.takeUses()).containsExactly(new QuotaUse("a", LIMIT, 1, 0, 0, 1));
-        assertThat(mOwner.takeUses()).isEmpty();
+        assertThat(mOwner.drainUses()).containsExactly(new QuotaUse("a", LIMIT, 1, 0, 0, 1));
+        assertThat(mOwner.drainUses()).isEmpty();
     }
 
     /** Keys come and go with tables; an owner that lives long must not keep them all. */
--- a/org.orchidmount.test/src/test/java/org/orchidmount/quota/QuotaReserveTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/quota/QuotaReserveTest.java
@@ -65,15 +65,15 @@
     })
     void aVoterKnowsOfLeasesThatItSawBegin(long first, long second, long formerSeconds) {
         LeaseHistory leases = new LeaseHistory(1, false, 0);
-        leases.see(first, 10 * SECOND);
-        leases.see(second, 20 * SECOND);
-        assertThat(leases.formerNanos()).isEqualTo(formerSeconds * SECOND);
+        leases.observe(first, 10 * SECOND);
+        leases.observe(second, 20 * SECOND);
+        assertThat(leases.previousLeaseNanos()).isEqualTo(formerSeconds * SECOND);
     }
 
     @Test
     void atTheFirstStartOfTheSiteNoLeaseWasMissed() {
         LeaseHistory leases = new LeaseHistory(0, true, SECOND);
-        leases.see(1, 2 * SECOND);
-        assertThat(leases.formerNanos()).isLessThan(-1_000_000 * SECOND);
+        leases.observe(1, 2 * SECOND);
+        assertThat(leases.previousLeaseNanos()).isLessThan(-1_000_000 * SECOND);
     }
 }
--- a/org.orchidmount.test/src/test/java/org/orchidmount/quota/SimulatedSite.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/quota/SimulatedSite.java
@@ -124,10 +124,10 @@
 
     private boolean askLeader(QuotaRequest request, long nowNanos) {
         Voter leader = mVoters.get(mLeader);
-        leader.mLeases.see(mTerm, nowNanos);
+        leader.mLeases.observe(mTerm, nowNanos);
         boolean isFull = mFault == Fault.FULL_BUCKETS;
-        long formerNanos = isFull ? -SCHEDULE_NANOS : leader.mLeases.formerNanos();
-        leader.mOwner.hold(mTerm, formerNanos, isFull ? -SCHEDULE_NANOS / 3 : nowNanos);
+        long previousLeaseNanos = isFull ? -SCHEDULE_NANOS : leader.mLeases.previousLeaseNanos();
+        leader.mOwner.hold(mTerm, previousLeaseNanos, isFull ? -SCHEDULE_NANOS / 3 : nowNanos);
         return leader.mOwner.ask(request, nowNanos).isGranted();
     }
 
@@ -169,7 +169,7 @@
         mLeader = sighted(nowNanos);
         for (Voter voter : mVoters) {
             if (voter.mBlindUntil <= nowNanos) {
-                voter.mLeases.see(mTerm, mNoLeaderUntil);
+                voter.mLeases.observe(mTerm, mNoLeaderUntil);
             }
         }
     }
--- a/org.orchidmount.test/src/test/java/org/orchidmount/relay/RelayRulesPinTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/relay/RelayRulesPinTest.java
@@ -142,10 +142,10 @@
         for (int i = 0; i < 1_500; i++) {
             clock.advance(Duration.ofNanos(random.nextLong(30_000_000)));
             if (random.nextInt(3) > 0) {
-                budget.countRequest();
+                budget.recordRequest();
             } else {
                 instances.set(1 + random.nextInt(4));
-                text.append(budget.tryTake() ? '1' : '0');
+                text.append(budget.tryAcquire() ? '1' : '0');
             }
         }
         return text.toString();
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/ClusterCodec.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/ClusterCodec.java
@@ -134,7 +134,7 @@
         } else if (message instanceof QuotaReply reply) {
             out.packInt(QUOTA_REPLY).packLong(reply.number());
             out.packInt(reply.answer().outcome().ordinal());
-            out.packLong(reply.answer().comeBackAfter().toNanos()).packString(reply.owner());
+            out.packLong(reply.answer().retryAfter().toNanos()).packString(reply.owner());
         } else if (message instanceof Registrations registrations) {
             writeRegistrations(out, registrations);
         } else if (message instanceof RegistrationsAck held) {
@@ -207,8 +207,8 @@
     private static QuotaReply readQuotaReply(MessageUnpacker in) throws IOException {
         long number = in.unpackLong();
         QuotaAnswer.Outcome outcome = constant(QuotaAnswer.Outcome.values(), in.unpackInt());
-        Duration comeBackAfter = Duration.ofNanos(readCount(in));
-        return new QuotaReply(number, new QuotaAnswer(outcome, comeBackAfter), in.unpackString());
+        Duration retryAfter = Duration.ofNanos(readCount(in));
+        return new QuotaReply(number, new QuotaAnswer(outcome, retryAfter), in.unpackString());
     }
 
     private static void writeRegistrations(MessageBufferPacker out, Registrations registrations)
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/EntryNode.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/EntryNode.java
@@ -310,15 +310,15 @@
     }
 
     @Override
-    public CompletableFuture<QuotaAnswer> askOwner(QuotaRequest request) {
+    public CompletableFuture<QuotaAnswer> requestUnits(QuotaRequest request) {
         CompletableFuture<QuotaAnswer> answer = new CompletableFuture<>();
         mTasks.post(() -> mQuotaRequests.ask(request, answer));
         return answer;
     }
 
     @Override
-    public void giveBack(String key, long units) {
-        mTasks.post(() -> mQuotaRequests.giveBack(key, units));
+    public void refund(String key, long units) {
+        mTasks.post(() -> mQuotaRequests.refund(key, units));
     }
 
     /**
@@ -399,7 +399,7 @@
 
     private final class CountingOwnerClient implements QuotaOwnerClient {
         @Override
-        public CompletableFuture<QuotaAnswer> askOwner(QuotaRequest request) {
+        public CompletableFuture<QuotaAnswer> requestUnits(QuotaRequest request) {
             CompletableFuture<QuotaAnswer> answer = new CompletableFuture<>();
             mTasks.post(
                     () -> {
@@ -413,8 +413,8 @@
         }
 
         @Override
-        public void giveBack(String key, long units) {
-            EntryNode.this.giveBack(key, units);
+        public void refund(String key, long units) {
+            EntryNode.this.refund(key, units);
         }
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/QuotaRequests.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/QuotaRequests.java
@@ -140,7 +140,7 @@
         if (reply.answer().outcome() == QuotaAnswer.Outcome.NO_OWNER) {
             onNoOwner(pending);
         } else if (!pending.answer().complete(reply.answer())) {
-            giveBackTo(pending.asked(), pending.request(), reply.answer());
+            refundTo(pending.asked(), pending.request(), reply.answer());
         }
     }
 
@@ -167,7 +167,7 @@
     }
 
     /** Returns units that were granted too late to the voter that granted them. */
-    private void giveBackTo(HostPort voter, QuotaRequest request, QuotaAnswer answer) {
+    private void refundTo(HostPort voter, QuotaRequest request, QuotaAnswer answer) {
         Link link = mVoters.get(voter);
         if (answer.outcome() == QuotaAnswer.Outcome.GRANTED && link != null) {
             link.send(new QuotaReturn(request.key(), request.units()));
@@ -175,7 +175,7 @@
     }
 
     /** Returns unused units to the current owner, even if its predecessor granted them. */
-    void giveBack(String key, long units) {
+    void refund(String key, long units) {
         Link link = mOwner == null ? null : mVoters.get(mOwner);
         if (link != null) {
             link.send(new QuotaReturn(key, units));
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/UpstreamLimitCodec.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/UpstreamLimitCodec.java
@@ -25,7 +25,7 @@
             out.packString(limit.upstream().id());
             writeStart(out, limit.upstream().startMillis());
             writePerSecond(out, limit.perSecond());
-            out.packLong(limit.version()).packString(limit.teller());
+            out.packLong(limit.version()).packString(limit.receiver());
         }
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterNode.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterNode.java
@@ -470,7 +470,7 @@
         } else if (message instanceof QuotaRequestMessage quotaRequest) {
             onQuotaRequest(link, quotaRequest);
         } else if (message instanceof QuotaReturn units) {
-            mQuota.giveBack(units, mClock.nanoTime());
+            mQuota.refund(units, mClock.nanoTime());
         } else if (message instanceof Registrations registrations) {
             onRegistrations(link, registrations);
         } else if (message instanceof RegistrationsAck held) {
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterQuota.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterQuota.java
@@ -50,7 +50,7 @@
 
     /** Records the current lease; must be called more often than leases begin. */
     void tick(long nowNanos) {
-        mLeases.see(mReplica.term(), nowNanos);
+        mLeases.observe(mReplica.term(), nowNanos);
     }
 
     /**
@@ -61,7 +61,7 @@
         tick(nowNanos);
         QuotaAnswer answer = QuotaAnswer.NO_OWNER;
         if (mReplica.holdsQuorum()) {
-            mOwner.hold(mReplica.term(), mLeases.formerNanos(), nowNanos);
+            mOwner.hold(mReplica.term(), mLeases.previousLeaseNanos(), nowNanos);
             answer = mOwner.ask(message.request(), nowNanos);
         } else if (message.isOwnerSilent() && isMember()) {
             int voters = mReplica.state().members().size();
@@ -85,8 +85,8 @@
     }
 
     /** Takes back units that were granted but not used. */
-    void giveBack(QuotaReturn units, long nowNanos) {
-        mOwner.giveBack(units.key(), units.units(), nowNanos);
+    void refund(QuotaReturn units, long nowNanos) {
+        mOwner.refund(units.key(), units.units(), nowNanos);
     }
 
     /**
@@ -99,7 +99,7 @@
 
     /** Logs the use of keys for which requests were refused since the last call. */
     void logUses() {
-        mOwner.takeUses().forEach(VoterQuota::logUse);
+        mOwner.drainUses().forEach(VoterQuota::logUse);
     }
 
     private static void logUse(QuotaUse use) {
--- a/org.orchidmount/src/main/java/org/orchidmount/controller/Admission.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/controller/Admission.java
@@ -153,7 +153,7 @@
         if (mStopping) {
             return new Decision.Refuse(Decision.RefuseReason.STOPPING, RetryAfter.TABLE_MILLIS);
         }
-        long retryAfterMillis = mLimits.takeRate(ticket.account(), mClock.nanoTime());
+        long retryAfterMillis = mLimits.tryAcquireRate(ticket.account(), mClock.nanoTime());
         if (retryAfterMillis > 0) {
             return new Decision.Refuse(Decision.RefuseReason.RATE_LIMIT, retryAfterMillis);
         }
@@ -193,7 +193,7 @@
             decision = mPolicy.decide(input, mRandom);
         }
         boolean placed = decision instanceof Decision.Place;
-        if (placed && mLimits.tryHold(limits(ticket, table)).isPresent()) {
+        if (placed && mLimits.tryAcquire(limits(ticket, table)).isPresent()) {
             return new Decision.Wait(Decision.WaitReason.LIMIT);
         }
         return decision;
--- a/org.orchidmount/src/main/java/org/orchidmount/limits/AccountLimits.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/limits/AccountLimits.java
@@ -59,7 +59,7 @@
      * @return the result, which states whether the request may run
      * @throws InterruptedException if the thread is interrupted
      */
-    public Grant take(
+    public Grant acquire(
             ClientAccount account, long tableVersion, OptionalLong statedTokens, Duration target)
             throws InterruptedException {
         if (account.limit().isEmpty()) {
@@ -76,9 +76,9 @@
     /**
      * Returns the units of a request that has not run.
      *
-     * @param grant result of {@link #take} for the request
+     * @param grant result of {@link #acquire} for the request
      */
-    public void giveBack(Grant grant) {
-        grant.request().ifPresent(request -> mQuota.giveBack(request, grant.answer()));
+    public void refund(Grant grant) {
+        grant.request().ifPresent(request -> mQuota.refund(request, grant.answer()));
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/limits/LocalLimits.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/limits/LocalLimits.java
@@ -35,7 +35,7 @@
      * @param nowNanos current monotonic time
      * @return 0 if the request may proceed, otherwise the milliseconds after which to retry
      */
-    public long takeRate(AccountRow account, long nowNanos) {
+    public long tryAcquireRate(AccountRow account, long nowNanos) {
         if (account.requestsPerSecond() == 0) {
             return 0;
         }
@@ -61,12 +61,12 @@
      * @param limits the limits; a maximum of 0 counts the request without limiting it
      * @return the first limit that is reached, or empty if the request was counted
      */
-    public Optional<Limit> tryHold(List<Limit> limits) {
+    public Optional<Limit> tryAcquire(List<Limit> limits) {
         try (OrderedLock.Held _ = mLock.hold()) {
             for (Limit limit : limits) {
-                boolean limited = limit.most() > 0;
+                boolean limited = limit.max() > 0;
                 int running = mRunning.getOrDefault(limit.key(), 0);
-                if (limited && running >= limit.most()) {
+                if (limited && running >= limit.max()) {
                     return Optional.of(limit);
                 }
             }
@@ -78,7 +78,7 @@
     /**
      * Stops counting a request.
      *
-     * @param limits the limits given to {@link #tryHold}
+     * @param limits the limits given to {@link #tryAcquire}
      */
     public void release(List<Limit> limits) {
         try (OrderedLock.Held _ = mLock.hold()) {
@@ -118,9 +118,9 @@
      * A limit on concurrent requests. Immutable.
      *
      * @param key what is limited, for example "pool sm-decode"
-     * @param most maximum number of requests at this instance, 0 for no limit
+     * @param max maximum number of requests at this instance, 0 for no limit
      */
-    public record Limit(String key, int most) {}
+    public record Limit(String key, int max) {}
 
     private record Bucket(double tokens, long atNanos) {}
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/limits/RetryBudget.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/limits/RetryBudget.java
@@ -15,15 +15,15 @@
  */
 public interface RetryBudget {
     /** Records a request, which earns a fraction of a retry. */
-    void countRequest();
+    void recordRequest();
 
     /**
      * Takes one retry.
      *
      * @return false if the budget is exhausted
      */
-    boolean tryTake();
+    boolean tryAcquire();
 
     /** Returns a retry that was taken but not made, because no upstream had capacity for it. */
-    void giveBack();
+    void refund();
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/limits/TokenBucketRetryBudget.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/limits/TokenBucketRetryBudget.java
@@ -36,14 +36,14 @@
     }
 
     @Override
-    public void countRequest() {
+    public void recordRequest() {
         try (OrderedLock.Held _ = mLock.hold()) {
             mTokens = Math.min(CAPACITY, mTokens + mTokensPerRequest);
         }
     }
 
     @Override
-    public boolean tryTake() {
+    public boolean tryAcquire() {
         try (OrderedLock.Held _ = mLock.hold()) {
             if (mTokens < 1) {
                 return false;
@@ -54,7 +54,7 @@
     }
 
     @Override
-    public void giveBack() {
+    public void refund() {
         try (OrderedLock.Held _ = mLock.hold()) {
             mTokens = Math.min(CAPACITY, mTokens + 1);
         }
--- a/org.orchidmount/src/main/java/org/orchidmount/limits/WindowRetryBudget.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/limits/WindowRetryBudget.java
@@ -63,14 +63,14 @@
     }
 
     @Override
-    public void countRequest() {
+    public void recordRequest() {
         try (OrderedLock.Held _ = mLock.hold()) {
             mRequests[advance()]++;
         }
     }
 
     @Override
-    public boolean tryTake() {
+    public boolean tryAcquire() {
         int instances = mInstances.getAsInt();
         try (OrderedLock.Held _ = mLock.hold()) {
             int newest = advance();
@@ -87,7 +87,7 @@
 
     /** {@inheritDoc} A retry that was taken in an earlier bucket is not returned. */
     @Override
-    public void giveBack() {
+    public void refund() {
         try (OrderedLock.Held _ = mLock.hold()) {
             int newest = advance();
             mRetries[newest] = Math.max(0, mRetries[newest] - 1);
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/UnreadableStatements.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/UnreadableStatements.java
@@ -31,7 +31,7 @@
      *
      * @return counter at zero
      */
-    public static UnreadableStatements ofTimesToComeBack() {
+    public static UnreadableStatements ofRetryTimes() {
         return new UnreadableStatements("a retry time that is not a number of seconds");
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamLimit.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamLimit.java
@@ -19,10 +19,10 @@
  * @param perSecond requests per second that it accepts from all instances together, finite and at
  *     least 0; empty if it no longer states a limit
  * @param version number of the change, at least 1
- * @param teller name of the instance that received the statement from the upstream
+ * @param receiver name of the instance that received the statement from the upstream
  */
 public record UpstreamLimit(
-        Incarnation upstream, OptionalDouble perSecond, long version, String teller) {
+        Incarnation upstream, OptionalDouble perSecond, long version, String receiver) {
     /**
      * Creates a limit.
      *
@@ -74,6 +74,6 @@
                         ? perSecond.getAsDouble() + " requests per second"
                         : "requests at any rate";
         return "%s accepts %s (version %d, received by %s)"
-                .formatted(upstream, limit, version, teller);
+                .formatted(upstream, limit, version, receiver);
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamPauses.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamPauses.java
@@ -29,7 +29,7 @@
     private final MonotonicClock mClock;
     private final Map<Incarnation, Long> mEndNanos = new ConcurrentHashMap<>();
     private final AtomicLong mRequested = new AtomicLong();
-    private final UnreadableStatements mUnreadable = UnreadableStatements.ofTimesToComeBack();
+    private final UnreadableStatements mUnreadable = UnreadableStatements.ofRetryTimes();
 
     /**
      * Creates an empty set of pauses.
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamThrottle.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamThrottle.java
@@ -165,7 +165,7 @@
      * @return the permit, granted or refused
      * @throws InterruptedException if the thread is interrupted
      */
-    public SendPermit take(Incarnation upstream, Duration target) throws InterruptedException {
+    public SendPermit acquire(Incarnation upstream, Duration target) throws InterruptedException {
         if (mPauses.isPaused(upstream)) {
             return refused();
         }
@@ -184,9 +184,9 @@
             return SendPermit.counted(request);
         }
         if (answer.outcome() == QuotaAnswer.Outcome.NO_OWNER) {
-            return takeWithoutOwner(limit.get());
+            return acquireWithoutOwner(limit.get());
         }
-        markExhausted(limit.get(), answer.comeBackAfter());
+        markExhausted(limit.get(), answer.retryAfter());
         return refused();
     }
 
@@ -201,7 +201,7 @@
         return Math.max(MIN_PER_SECOND, limit.perSecond().orElseThrow());
     }
 
-    private SendPermit takeWithoutOwner(UpstreamLimit limit) {
+    private SendPermit acquireWithoutOwner(UpstreamLimit limit) {
         Duration wait = mLocalLimiter.take(limit.upstream(), rate(limit));
         if (wait.isZero()) {
             mSentWithoutOwner.incrementAndGet();
@@ -226,8 +226,8 @@
      *
      * @param permit the permit
      */
-    public void giveBack(SendPermit permit) {
-        permit.owed().ifPresent(request -> mQuota.giveBack(request, QuotaAnswer.GRANTED));
+    public void refund(SendPermit permit) {
+        permit.owed().ifPresent(request -> mQuota.refund(request, QuotaAnswer.GRANTED));
     }
 
     /**
@@ -241,7 +241,7 @@
     }
 
     /** Counts a call other than a request that was not made because of a pause. */
-    public void heldBack() {
+    public void countHeldBack() {
         mHeldBack.incrementAndGet();
     }
 
@@ -253,7 +253,7 @@
      * @return true if its limit or its pause explains the refusal; false if the refusal has another
      *     cause
      */
-    public boolean refusedBy(Incarnation upstream) {
+    public boolean recordRefusal(Incarnation upstream) {
         Optional<UpstreamLimit> limit = mLimits.find(upstream);
         limit.ifPresent(known -> markExhausted(known, interval(rate(known))));
         return limit.isPresent() || mPauses.isPaused(upstream);
@@ -270,7 +270,7 @@
      * @param upstreams incarnations, at least one
      * @return time until then; zero if one is available now
      */
-    public Duration untilAnyTakesWork(Collection<Incarnation> upstreams) {
+    public Duration untilAnyAvailable(Collection<Incarnation> upstreams) {
         return upstreams.stream().map(this::untilAvailable).min(Duration::compareTo).orElseThrow();
     }
 
@@ -302,7 +302,7 @@
      * @param ofAll total of all instances
      * @return an equal share, at least 1
      */
-    public int equalPart(int ofAll) {
+    public int localShare(int ofAll) {
         return Math.max(1, ofAll / mInstances.getAsInt());
     }
 
@@ -312,7 +312,7 @@
      *
      * @return identities of the upstreams
      */
-    public Set<String> passedOver() {
+    public Set<String> excludedUpstreams() {
         Set<String> paused = mPauses.paused();
         if (mExhausted.isEmpty()) {
             return paused;
@@ -337,7 +337,7 @@
      * @param longest how long the caller can wait
      * @return time after which to retry
      */
-    public Duration comeBackAfter(
+    public Duration retryAfter(
             String service,
             Collection<Incarnation> upstreams,
             double unlimitedPerSecond,
@@ -350,7 +350,7 @@
                                         limit.map(UpstreamThrottle::rate)
                                                 .orElse(unlimitedPerSecond))
                         .sum();
-        Duration untilAnyAvailable = untilAnyTakesWork(upstreams);
+        Duration untilAnyAvailable = untilAnyAvailable(upstreams);
         Duration interval = interval(perSecond / mInstances.getAsInt());
         Duration wait = mRetryQueue.join(service, untilAnyAvailable, interval, longest);
         Duration maxWait = untilAnyAvailable.plus(MAX_QUEUE_WAIT);
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashReports.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashReports.java
@@ -103,7 +103,7 @@
         if (!mRunning.tryBegin(request)) {
             return false;
         }
-        if (mRunLock.tryTake(request)) {
+        if (mRunLock.tryAcquire(request)) {
             return true;
         }
         mRunning.end(request);
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/QuotaRunLock.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/QuotaRunLock.java
@@ -45,7 +45,7 @@
     }
 
     @Override
-    public boolean tryTake(RequestFingerprint request) {
+    public boolean tryAcquire(RequestFingerprint request) {
         try {
             QuotaAnswer answer = mQuota.take(quotaRequest(request), OWNER_TIMEOUT);
             if (answer.outcome() == QuotaAnswer.Outcome.GRANTED) {
@@ -65,7 +65,7 @@
     @Override
     public void release(RequestFingerprint request) {
         if (mTaken.remove(request)) {
-            mQuota.giveBack(quotaRequest(request), QuotaAnswer.GRANTED);
+            mQuota.refund(quotaRequest(request), QuotaAnswer.GRANTED);
         }
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/RunLock.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/RunLock.java
@@ -14,7 +14,7 @@
     RunLock UNCOORDINATED =
             new RunLock() {
                 @Override
-                public boolean tryTake(RequestFingerprint request) {
+                public boolean tryAcquire(RequestFingerprint request) {
                     return true;
                 }
 
@@ -28,7 +28,7 @@
      * @param request fingerprint of the request
      * @return false if a copy may be running on another instance
      */
-    boolean tryTake(RequestFingerprint request);
+    boolean tryAcquire(RequestFingerprint request);
 
     /**
      * Releases a lock that was acquired.
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/LeaseHistory.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/LeaseHistory.java
@@ -47,7 +47,7 @@
      * @param lease number of the lease
      * @param nowNanos monotonic time
      */
-    public void see(long lease, long nowNanos) {
+    public void observe(long lease, long nowNanos) {
         if (lease == mLease) {
             return;
         }
@@ -62,7 +62,7 @@
      *
      * @return monotonic time, in the distant past if the site started for the first time
      */
-    public long formerNanos() {
+    public long previousLeaseNanos() {
         return mPreviousLeaseNanos;
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaAnswer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaAnswer.java
@@ -11,10 +11,10 @@
  * Result of a quota request. Immutable.
  *
  * @param outcome whether the units may be used
- * @param comeBackAfter time after which the key is expected to have capacity; zero unless the
- *     outcome is {@link Outcome#EXCEEDED}
+ * @param retryAfter time after which the key is expected to have capacity; zero unless the outcome
+ *     is {@link Outcome#EXCEEDED}
  */
-public record QuotaAnswer(Outcome outcome, Duration comeBackAfter) {
+public record QuotaAnswer(Outcome outcome, Duration retryAfter) {
     /** Whether the requested units may be used. */
     public enum Outcome {
         /** The units may be used and are counted by the owner. */
@@ -45,11 +45,11 @@
     /**
      * Creates the answer for a limit that is used up.
      *
-     * @param comeBackAfter time after which capacity is expected
+     * @param retryAfter time after which capacity is expected
      * @return the answer
      */
-    public static QuotaAnswer exceeded(Duration comeBackAfter) {
-        return new QuotaAnswer(Outcome.EXCEEDED, comeBackAfter);
+    public static QuotaAnswer exceeded(Duration retryAfter) {
+        return new QuotaAnswer(Outcome.EXCEEDED, retryAfter);
     }
 
     /**
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaOwner.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaOwner.java
@@ -54,7 +54,7 @@
 
         private long mUpdatedNanos;
 
-        /** Units granted since the last call of {@link #takeUses}. */
+        /** Units granted since the last call of {@link #drainUses}. */
         private long mGrantedUnits;
 
         private int mGranted;
@@ -144,7 +144,7 @@
      * @param units number of units
      * @param nowNanos monotonic time
      */
-    public void giveBack(String key, long units, long nowNanos) {
+    public void refund(String key, long units, long nowNanos) {
         Bucket bucket = mBuckets.get(key);
         if (bucket != null) {
             bucket.advance(nowNanos);
@@ -169,7 +169,7 @@
      *
      * @return use per key
      */
-    public List<QuotaUse> takeUses() {
+    public List<QuotaUse> drainUses() {
         List<QuotaUse> uses = new ArrayList<>();
         mBuckets.forEach(
                 (key, bucket) -> {
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaOwnerClient.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaOwnerClient.java
@@ -16,7 +16,7 @@
      * @param request the request
      * @return future answer, which may never be completed
      */
-    CompletableFuture<QuotaAnswer> askOwner(QuotaRequest request);
+    CompletableFuture<QuotaAnswer> requestUnits(QuotaRequest request);
 
     /**
      * Returns units that the owner granted and that were not used.
@@ -24,5 +24,5 @@
      * @param key key of the bucket
      * @param units number of units
      */
-    void giveBack(String key, long units);
+    void refund(String key, long units);
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/SharedQuota.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/SharedQuota.java
@@ -37,11 +37,11 @@
      * @throws InterruptedException if the thread is interrupted
      */
     public QuotaAnswer take(QuotaRequest request, Duration timeout) throws InterruptedException {
-        QuotaAnswer answer = await(mOwner.askOwner(request), timeout);
+        QuotaAnswer answer = await(mOwner.requestUnits(request), timeout);
         if (answer.outcome() != QuotaAnswer.Outcome.NO_OWNER) {
             return answer;
         }
-        QuotaAnswer retried = await(mOwner.askOwner(request), timeout);
+        QuotaAnswer retried = await(mOwner.requestUnits(request), timeout);
         LOG.debug(
                 "%s: quota owner did not answer; result of the second attempt: %s",
                 request.key(), retried.outcome());
@@ -68,9 +68,9 @@
      * @param request the request that took the units
      * @param answer the answer that granted them
      */
-    public void giveBack(QuotaRequest request, QuotaAnswer answer) {
+    public void refund(QuotaRequest request, QuotaAnswer answer) {
         if (answer.outcome() == QuotaAnswer.Outcome.GRANTED) {
-            mOwner.giveBack(request.key(), request.units());
+            mOwner.refund(request.key(), request.units());
         }
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/EnginePlacer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/EnginePlacer.java
@@ -169,7 +169,7 @@
     }
 
     private boolean areAllThrottled() {
-        Set<String> throttled = mContext.upstreamLimits().passedOver();
+        Set<String> throttled = mContext.upstreamLimits().excludedUpstreams();
         return mContext.areAllThrottled(mService.name(), Stage.DECODE, throttled);
     }
 
@@ -181,7 +181,7 @@
         List<Incarnation> engines = mContext.upstreams().available(mService.name(), Stage.DECODE);
         return engines.isEmpty()
                 || mIsThrottled
-                        && mContext.upstreamLimits().untilAnyTakesWork(engines).toNanos()
+                        && mContext.upstreamLimits().untilAnyAvailable(engines).toNanos()
                                 > waitNanos;
     }
 
@@ -297,7 +297,7 @@
     private Set<String> excluded(PrefillRule.Choice choice) {
         Set<String> excluded = new HashSet<>(saturatedEngines());
         excluded.addAll(mContext.upstreams().avoided(mService.name(), Stage.DECODE));
-        excluded.addAll(mContext.upstreamLimits().passedOver());
+        excluded.addAll(mContext.upstreamLimits().excludedUpstreams());
         if (choice == PrefillRule.Choice.UNSPLIT_IF_IDLE) {
             excluded.addAll(
                     mContext.upstreams()
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Prefiller.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Prefiller.java
@@ -118,7 +118,7 @@
                 engineSpeed().prefillEngineMillis(mPrompt.tokens()),
                 UpstreamCost.OTHER_ZONE_ENGINE_MILLIS,
                 false,
-                mContext.upstreamLimits().passedOver(),
+                mContext.upstreamLimits().excludedUpstreams(),
                 mContext.maxAssignments(mService),
                 this::backlogMillis);
     }
@@ -173,7 +173,7 @@
         return !mCancel.isCancelled()
                 && asked < MAX_ENGINES
                 && mCrashReporter.mayRun()
-                && (mCalls == 0 || mContext.retryBudget(mService.name()).tryTake());
+                && (mCalls == 0 || mContext.retryBudget(mService.name()).tryAcquire());
     }
 
     private Optional<KvCacheRef> prefillAt(Assignment assignment) {
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RelayContext.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RelayContext.java
@@ -128,7 +128,7 @@
     int maxAssignments(Service service) {
         return service.maxConnections().isEmpty()
                 ? UpstreamDirectory.Need.UNLIMITED
-                : upstreamLimits.equalPart(service.maxConnections().getAsInt());
+                : upstreamLimits.localShare(service.maxConnections().getAsInt());
     }
 
     /**
@@ -139,7 +139,8 @@
      */
     Optional<SendPermit> acquirePermit(Assignment assignment, RelayRequest request)
             throws InterruptedException {
-        SendPermit permit = upstreamLimits.take(assignment.incarnation(), request.route().target());
+        SendPermit permit =
+                upstreamLimits.acquire(assignment.incarnation(), request.route().target());
         if (permit.isGranted()) {
             return Optional.of(permit);
         }
@@ -152,7 +153,7 @@
      * attributed to that and does not affect its health.
      */
     void refused(Assignment assignment) {
-        if (!upstreamLimits.refusedBy(assignment.incarnation())) {
+        if (!upstreamLimits.recordRefusal(assignment.incarnation())) {
             upstreams.refused(assignment);
         }
     }
@@ -162,7 +163,7 @@
      * #refused}.
      */
     void refusedDespiteReservation(Assignment assignment) {
-        if (!upstreamLimits.refusedBy(assignment.incarnation())) {
+        if (!upstreamLimits.recordRefusal(assignment.incarnation())) {
             upstreams.refusedDespiteReservation(assignment);
         }
     }
@@ -189,7 +190,7 @@
      */
     void release(Assignment assignment, HttpHead head) {
         if (upstreamLimits.isPaused(assignment.incarnation())) {
-            upstreamLimits.heldBack();
+            upstreamLimits.countHeldBack();
             return;
         }
         Thread.ofVirtual().name("release").start(() -> sendRelease(assignment, head));
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RequestRelay.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RequestRelay.java
@@ -134,7 +134,7 @@
     }
 
     private End serve() throws IOException, TimeoutException, InterruptedException {
-        mBudget.countRequest();
+        mBudget.recordRequest();
         while (mayTry()) {
             Optional<Placement> placement = place();
             if (placement.isEmpty()) {
@@ -156,13 +156,13 @@
                 && mIsStillAllowed.getAsBoolean()
                 && AttemptRule.mayTry(mHistory, mRequest.route().attemptLimits(), timeLeft())
                 && mCrashReporter.mayRun()
-                && (!AttemptRule.takesFromBudget(mHistory) || mBudget.tryTake());
+                && (!AttemptRule.takesFromBudget(mHistory) || mBudget.tryAcquire());
     }
 
     /** Returns the retry to the budget: nothing was sent, so nothing was repeated. */
     private void refundRetry() {
         if (AttemptRule.takesFromBudget(mHistory)) {
-            mBudget.giveBack();
+            mBudget.refund();
         }
     }
 
@@ -191,7 +191,7 @@
 
     /** Tries to acquire a permit for one upstream after another, each once. */
     private Optional<Placement> placeAtPlainService() throws InterruptedException {
-        Set<String> throttled = new HashSet<>(mContext.upstreamLimits().passedOver());
+        Set<String> throttled = new HashSet<>(mContext.upstreamLimits().excludedUpstreams());
         mIsThrottled = false;
         while (true) {
             Optional<Assignment> assignment = mContext.upstreams().assign(need(throttled), mTried);
@@ -233,7 +233,7 @@
                     outcome == AttemptOutcome.ENDED || outcome == AttemptOutcome.MAY_HAVE_RUN;
             boolean prefilledByUpstream = cache.isEmpty() && isAnswered && mAttempts.hasResponse();
             if (outcome == AttemptOutcome.NOT_REACHED && placement.reservation().isEmpty()) {
-                mContext.upstreamLimits().giveBack(placement.permit());
+                mContext.upstreamLimits().refund(placement.permit());
             }
             mReporter.recordAttempt(placement.assignment().id(), prefilledByUpstream);
             mEngines.ifPresent(engines -> releaseOrMarkUsed(engines, placement, outcome));
@@ -311,7 +311,7 @@
         return mIsThrottled
                 || mEngines.map(EnginePlacer::isThrottled).orElse(false)
                 || mContext.areAllThrottled(
-                        mService.name(), stage(), mContext.upstreamLimits().passedOver());
+                        mService.name(), stage(), mContext.upstreamLimits().excludedUpstreams());
     }
 
     private Stage stage() {
@@ -341,7 +341,7 @@
         if (mIsThrottled && !upstreams.isEmpty()) {
             Duration delay =
                     mContext.upstreamLimits()
-                            .comeBackAfter(
+                            .retryAfter(
                                     mService.name(),
                                     upstreams,
                                     unlimitedPerSecond(upstreams.size()),
