--- a/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/CompletionRun.java
+++ b/org.orchidmount.daemon/src/main/java/org/orchidmount/daemon/internal/CompletionRun.java
@@ -78,8 +78,7 @@
         mWriter = writer;
         mCancel = cancel;
         mArrivedNanos = arrivedNanos;
-        mGuard =
-                new RunGuard(parts.crashes(), this::fingerprint, RunGuard.PROMPT_TAKES_TURNS_AFTER);
+        mGuard = new RunGuard(parts.crashes(), this::fingerprint, RunGuard.SERIALIZE_PROMPTS_AFTER);
     }
 
     private RequestFingerprint fingerprint() {
@@ -101,7 +100,7 @@
     private void makeAttempts() throws IOException, TimeoutException, InterruptedException {
         mParts.retries().recordRequest();
         while (true) {
-            if (!mGuard.mayRun()) {
+            if (!mGuard.tryBeginRun()) {
                 finish(mayNotRun());
                 return;
             }
@@ -227,7 +226,7 @@
             mGuard.abandoned(engine, () -> false, deliveredBefore, mDelivered);
         }
         if (!mCancel.isCancelled() && CrashReports.mayBeCrash(failure)) {
-            Incarnation upstream = Incarnation.ofUnstatedStart(engine.name());
+            Incarnation upstream = Incarnation.ofUnknownStart(engine.name());
             mGuard.failed(failure, upstream, engine, deliveredBefore, mDelivered);
         }
     }
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/BadFrameTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/BadFrameTest.java
@@ -47,7 +47,7 @@
  * on the same link never arrived.
  */
 final class BadFrameTest {
-    private static final Incarnation ENGINE = Incarnation.ofUnstatedStart("i-1");
+    private static final Incarnation ENGINE = Incarnation.ofUnknownStart("i-1");
     private static final Duration LONGEST = Duration.ofSeconds(10);
     private static final Greeting GREETING = new Greeting(VoterNode.PROTOCOL, "peer", "zone", null);
     private static final int TABLE_DOCUMENT = 6;
@@ -205,7 +205,10 @@
     void aDepartureNeedsNoMoreThanAnIdentity() throws IOException {
         Registrations gone =
                 new Registrations(
-                        3, List.of(registration("i-1", "", "", 0, 0).in(Registration.State.GONE)));
+                        3,
+                        List.of(
+                                registration("i-1", "", "", 0, 0)
+                                        .withState(Registration.State.GONE)));
         assertThat(decoded(gone)).isEqualTo(gone);
     }
 
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/ClusterCodecTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/ClusterCodecTest.java
@@ -89,7 +89,7 @@
                                         2,
                                         "e"),
                                 new UpstreamLimit(
-                                        Incarnation.ofUnstatedStart("i-3"),
+                                        Incarnation.ofUnknownStart("i-3"),
                                         OptionalDouble.empty(),
                                         5,
                                         "f"))));
@@ -112,7 +112,7 @@
     }
 
     private static Registration startedEngine(String id) {
-        return engine(id).by(Incarnation.startedAt(id, 1_700_000_000_000L));
+        return engine(id).withIncarnation(Incarnation.startedAt(id, 1_700_000_000_000L));
     }
 
     private static ClusterMessage replication(ReplicaMessage message) {
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/ControlPinTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/ControlPinTest.java
@@ -150,7 +150,7 @@
                                         millis,
                                         order.engine().id(),
                                         order.stage(),
-                                        order.fence(),
+                                        order.fencingToken(),
                                         order.holder()));
             }
         }
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/QuotaRequestsTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/QuotaRequestsTest.java
@@ -126,7 +126,7 @@
         entry(owner);
         Await.until("granted", LONGEST, () -> take(LONGEST) == Outcome.GRANTED);
         mSeen.clear();
-        QuotaAnswer answer = mEntry.countingOwner().requestUnits(ASK).join();
+        QuotaAnswer answer = mEntry.upstreamQuotaClient().requestUnits(ASK).join();
         assertThat(answer.outcome()).isEqualTo(Outcome.NO_OWNER);
         assertThat(mSeen).isEmpty();
     }
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/RestartedUpstreamTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/RestartedUpstreamTest.java
@@ -76,7 +76,7 @@
         register(engine(11, 1));
         awaitSeen(11, State.READY);
         register(engine(10, 901));
-        register(engine(10, 902).in(State.DRAINING));
+        register(engine(10, 902).withState(State.DRAINING));
         register(mark());
         Await.until("the mark", LONGEST, () -> mSeen.containsKey(MARK));
         assertThat(isSeen(11, State.READY)).isTrue();
@@ -125,7 +125,10 @@
                         new Member("earlier", mAddress.toString(), mAddress.toString()));
         try (LinkServer _ = new LinkServer(mAddress, greeting, earlier);
                 EntryNode _ = entry()) {
-            Registration gone = engine(10, 900).by(Incarnation.ofUnstatedStart(ID)).in(State.GONE);
+            Registration gone =
+                    engine(10, 900)
+                            .withIncarnation(Incarnation.ofUnknownStart(ID))
+                            .withState(State.GONE);
             earlier.send(new Registrations(0, List.of(engine(10, 1))));
             awaitSeen(10, State.READY);
             earlier.send(new Registrations(0, List.of(gone, mark())));
@@ -158,7 +161,7 @@
     }
 
     private void leave() {
-        Await.until("held as gone", LONGEST, () -> isTrue(mVoter.leave(ID)));
+        Await.until("held as gone", LONGEST, () -> isTrue(mVoter.deregister(ID)));
     }
 
     private static boolean isTrue(CompletableFuture<Boolean> asked) {
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/StageControllerTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/StageControllerTest.java
@@ -56,7 +56,7 @@
         assertThat(mOrders).isEmpty();
         pass(TERM, 2_000);
         StageOrderClient.Order order = mOrders.poll(10, TimeUnit.SECONDS);
-        assertThat(order.fence()).isEqualTo(TERM);
+        assertThat(order.fencingToken()).isEqualTo(TERM);
         assertThat(order.holder()).isEqualTo("voter-1");
     }
 
@@ -96,7 +96,7 @@
                                 (order, stillHeld, statements) -> {
                                     orders.add(order);
                                     awaitUninterruptibly(answer);
-                                    return order.fence() == TERM
+                                    return order.fencingToken() == TERM
                                             ? StageOrderClient.Result.FENCED
                                             : StageOrderClient.Result.TAKEN;
                                 }),
@@ -117,7 +117,7 @@
             controller.tick(TERM + 1, ENGINES, List.of(), () -> true, millis * MILLI);
             Await.until("ended", WAIT, () -> !controller.isOrderInProgress());
         }
-        assertThat(orders.poll(10, TimeUnit.SECONDS).fence()).isEqualTo(TERM + 1);
+        assertThat(orders.poll(10, TimeUnit.SECONDS).fencingToken()).isEqualTo(TERM + 1);
     }
 
     /**
@@ -189,7 +189,7 @@
 
     private static Registration startedAgain(Registration engine) {
         long startMillis = engine.incarnation().startMillis().getAsLong();
-        return engine.by(Incarnation.startedAt(engine.id(), startMillis + 1));
+        return engine.withIncarnation(Incarnation.startedAt(engine.id(), startMillis + 1));
     }
 
     private static void awaitUninterruptibly(CountDownLatch latch) {
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/UpstreamLimitRecordsTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/UpstreamLimitRecordsTest.java
@@ -154,7 +154,7 @@
     }
 
     private static boolean isGranted(EntryNode entry) {
-        return entry.countingOwner().requestUnits(ASK).join().outcome()
+        return entry.upstreamQuotaClient().requestUnits(ASK).join().outcome()
                 == QuotaAnswer.Outcome.GRANTED;
     }
 
@@ -187,7 +187,7 @@
                 List.of(
                         new UpstreamLimit(UPSTREAM, OptionalDouble.of(3.6), 2, "one"),
                         new UpstreamLimit(
-                                Incarnation.ofUnstatedStart("i-2"), OptionalDouble.empty(), 1, ""));
+                                Incarnation.ofUnknownStart("i-2"), OptionalDouble.empty(), 1, ""));
         UpstreamLimitCodec codec = new UpstreamLimitCodec();
         assertThat(codec.decode(codec.encode(limits))).isEqualTo(limits);
         UpstreamLimitRecords message = new UpstreamLimitRecords(limits);
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/VoterNodeTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/VoterNodeTest.java
@@ -140,13 +140,13 @@
         Await.until(
                 "confirmed again and again",
                 LONGEST,
-                () -> mEntry.unconfirmedFor().compareTo(Duration.ofMillis(100)) < 0);
+                () -> mEntry.timeSinceConfirmation().compareTo(Duration.ofMillis(100)) < 0);
         mVoters.forEach(VoterNode::close);
         mVoters.clear();
         Await.until(
                 "no longer confirmed",
                 LONGEST,
-                () -> mEntry.unconfirmedFor().compareTo(Duration.ofMillis(1_500)) > 0);
+                () -> mEntry.timeSinceConfirmation().compareTo(Duration.ofMillis(1_500)) > 0);
     }
 
     /** All entries ask one owner, so what one has used another cannot use. */
@@ -223,7 +223,7 @@
         Await.until("table in force", LONGEST, () -> versionInForce() == 1);
         InFlightSequence sequence =
                 new InFlightSequence(
-                        Incarnation.ofUnstatedStart("i-1"), "r-1", 5_000, 4_000, 10_000, 0, false);
+                        Incarnation.ofUnknownStart("i-1"), "r-1", 5_000, 4_000, 10_000, 0, false);
         try (EntryNode other = entry("other", ZONE, new ConcurrentLinkedQueue<>())) {
             Await.until("table in force", LONGEST, () -> other.table().isPresent());
             other.begin(sequence, () -> 700);
@@ -245,7 +245,7 @@
         Await.until("table in force", LONGEST, () -> versionInForce() == 1);
         InFlightSequence sequence =
                 new InFlightSequence(
-                        Incarnation.ofUnstatedStart("i-1"), "r-1", 5_000, 4_000, 10_000, 0, false);
+                        Incarnation.ofUnknownStart("i-1"), "r-1", 5_000, 4_000, 10_000, 0, false);
         try (EntryNode other = entry("other", zone, new ConcurrentLinkedQueue<>())) {
             Await.until("table in force", LONGEST, () -> other.table().isPresent());
             other.begin(sequence, () -> 700);
@@ -294,7 +294,7 @@
                         1);
         Await.until("registered", LONGEST, () -> isHeld(mVoters.getLast().register(ready)));
         Await.until("known", LONGEST, () -> mSeen.containsKey("i-1"));
-        Await.until("left", LONGEST, () -> isHeld(mVoters.getFirst().leave("i-1")));
+        Await.until("left", LONGEST, () -> isHeld(mVoters.getFirst().deregister("i-1")));
         Await.until(
                 "known as gone",
                 LONGEST,
@@ -312,7 +312,7 @@
                 "quorum lost",
                 LONGEST,
                 () -> join(left.readTable()) instanceof TableReply.Unavailable);
-        assertThat(isHeld(left.leave("i-9"))).isFalse();
+        assertThat(isHeld(left.deregister("i-9"))).isFalse();
         assertThat(join(left.putTable(2, "2".getBytes())))
                 .isInstanceOf(TableReply.Unavailable.class);
         assertThat(versionInForce()).isEqualTo(1);
--- a/org.orchidmount.test/src/test/java/org/orchidmount/load/EngineLoadsTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/load/EngineLoadsTest.java
@@ -153,7 +153,7 @@
     void anAnnouncementThatComesBeforeTheNewStartCounts() {
         mLoads.registered(OLD);
         fill(OLD);
-        mLoads.update(run("i-1", "r-new").at(NEW));
+        mLoads.update(run("i-1", "r-new").withIncarnation(NEW));
         mLoads.registered(NEW);
         assertThat(mLoads.usedMemoryTokens("i-1", SPEED)).isEqualTo(PROMPT);
     }
@@ -163,7 +163,7 @@
     void anEarlierStartThatIsRegisteredAfterAllTakesThePlaceOfALaterOne() {
         mLoads.registered(NEW);
         mLoads.registered(OLD);
-        InFlightSequence run = run("i-1", "r-1").at(OLD);
+        InFlightSequence run = run("i-1", "r-1").withIncarnation(OLD);
         mLoads.update(run);
         assertThat(mLoads.usedMemoryTokens("i-1", SPEED)).isEqualTo(PROMPT);
         assertThat(mLoads.keepsPlace(run, MEMORY, SPEED)).isTrue();
@@ -186,7 +186,7 @@
     @Test
     void announcementsWithoutAStartCountOnlyIfTheyBeginAfterIt() {
         mLoads.registered(OLD);
-        Incarnation unstated = Incarnation.ofUnstatedStart("i-1");
+        Incarnation unstated = Incarnation.ofUnknownStart("i-1");
         fill(unstated);
         mLoads.registered(NEW);
         for (int i = 0; i < 10; i++) {
@@ -201,7 +201,7 @@
     /** The first start that is stated is no proof that the engine has started again. */
     @Test
     void aStartThatBecomesKnownEndsNothing() {
-        Incarnation unstated = Incarnation.ofUnstatedStart("i-1");
+        Incarnation unstated = Incarnation.ofUnknownStart("i-1");
         fill(unstated);
         mLoads.registered(OLD);
         fill(unstated);
@@ -211,7 +211,7 @@
 
     @Test
     void aRunWhoseEngineHasStartedAgainDoesNotKeepItsPlace() {
-        InFlightSequence own = run("i-1", "r-own").at(OLD);
+        InFlightSequence own = run("i-1", "r-own").withIncarnation(OLD);
         mLoads.update(own);
         assertThat(mLoads.keepsPlace(own, MEMORY, SPEED)).isTrue();
         mLoads.registered(NEW);
@@ -221,7 +221,7 @@
     /** Announces 40 runs, far more than an engine bears. */
     private void fill(Incarnation engine) {
         for (int i = 0; i < 40; i++) {
-            mLoads.update(run("i-1", "r-" + i).at(engine));
+            mLoads.update(run("i-1", "r-" + i).withIncarnation(engine));
         }
     }
 
@@ -243,7 +243,7 @@
 
     private static InFlightSequence run(String upstreamId, String requestId) {
         return new InFlightSequence(
-                Incarnation.ofUnstatedStart(upstreamId),
+                Incarnation.ofUnknownStart(upstreamId),
                 requestId,
                 PROMPT,
                 EXPECTED,
--- a/org.orchidmount.test/src/test/java/org/orchidmount/load/EngineMemoryPinTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/load/EngineMemoryPinTest.java
@@ -80,13 +80,13 @@
         int prompt = 200 + random.nextInt(9_000);
         if (random.nextInt(4) == 0) {
             return InFlightSequence.ofPrefill("p-" + number, prompt)
-                    .placedAt(Incarnation.ofUnstatedStart("e-" + random.nextInt(3)), 1);
+                    .placedAt(Incarnation.ofUnknownStart("e-" + random.nextInt(3)), 1);
         }
         int expected = 50 + random.nextInt(5_000);
         int most = expected + random.nextInt(6_000);
         String engine = "e-" + random.nextInt(3);
         return new InFlightSequence(
-                Incarnation.ofUnstatedStart(engine),
+                Incarnation.ofUnknownStart(engine),
                 "r-" + number,
                 prompt,
                 expected,
--- a/org.orchidmount.test/src/test/java/org/orchidmount/membership/IncarnationTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/membership/IncarnationTest.java
@@ -78,7 +78,7 @@
         mRegistry.merge(current, 0);
         assertThat(mRegistry.merge(message(OLD_MILLIS, late, 900, Stage.DECODE), 50)).isEmpty();
         assertThat(held()).isEqualTo(current);
-        assertThat(mRegistry.heardBetween(50, 51)).isEmpty();
+        assertThat(mRegistry.receivedBetween(50, 51)).isEmpty();
     }
 
     /** A start that is news is told, so that other instances end the older too. */
@@ -126,7 +126,7 @@
     @Test
     void aDepartureEndsTheIncarnationHeldAndTheNextComesBack() {
         mRegistry.merge(message(OLD_MILLIS, State.READY, 7, Stage.DECODE), 0);
-        assertThat(mRegistry.leave("i-1", 1).incarnation())
+        assertThat(mRegistry.markDeparted("i-1", 1).incarnation())
                 .isEqualTo(incarnation("i-1", OLD_MILLIS));
         mRegistry.merge(message(OLD_MILLIS, State.READY, 8, Stage.DECODE), 2);
         assertThat(held().state()).isEqualTo(State.GONE);
@@ -140,7 +140,7 @@
     void aDepartureJustReceivedIsOfTheOneHeldUnlessItStatesAnother(Long startMillis, State after) {
         mRegistry.merge(message(NEW_MILLIS, State.READY, 7, Stage.DECODE), 0);
         Optional<Registration> changed =
-                mRegistry.depart(message(startMillis, State.GONE, 0, Stage.NONE), 1);
+                mRegistry.mergeDeparture(message(startMillis, State.GONE, 0, Stage.NONE), 1);
         assertThat(changed.isPresent()).isEqualTo(after == State.GONE);
         assertThat(held()).isEqualTo(message(NEW_MILLIS, after, 7, Stage.DECODE));
     }
@@ -151,10 +151,10 @@
         mRegistry.merge(message(FAR_MILLIS, State.READY, 1, Stage.DECODE), 0);
         Registration trueOne = message(NEW_MILLIS, State.READY, 1, Stage.DECODE);
         assertThat(mRegistry.merge(trueOne, 1)).isEmpty();
-        mRegistry.leave("i-1", 2);
+        mRegistry.markDeparted("i-1", 2);
         // What is barred does not count as a word of the one that bars it.
         assertThat(mRegistry.merge(trueOne, 900)).isEmpty();
-        mRegistry.forgetOld(2 + REMEMBER_NANOS + 1);
+        mRegistry.removeExpired(2 + REMEMBER_NANOS + 1);
         assertThat(mRegistry.merge(trueOne, 1_100)).hasValue(trueOne);
     }
 
@@ -185,7 +185,7 @@
     private static Incarnation incarnation(String id, Long startMillis) {
         return Optional.ofNullable(startMillis)
                 .map(millis -> Incarnation.startedAt(id, millis))
-                .orElseGet(() -> Incarnation.ofUnstatedStart(id));
+                .orElseGet(() -> Incarnation.ofUnknownStart(id));
     }
 
     private static Registration message(Long startMillis, State state, long sequence, Stage stage) {
--- a/org.orchidmount.test/src/test/java/org/orchidmount/membership/RegistrationTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/membership/RegistrationTest.java
@@ -34,7 +34,7 @@
         registry.merge(ready(4), 1);
         registry.merge(ready(6), 2);
         assertThat(registry.find("i-1").get().state()).isEqualTo(State.DRAINING);
-        registry.leave("i-1", 3);
+        registry.markDeparted("i-1", 3);
         registry.merge(ready(9), 4);
         assertThat(registry.find("i-1").get().state()).isEqualTo(State.GONE);
     }
@@ -42,10 +42,10 @@
     @Test
     void aLeaveThatComesFirstIsRemembered() {
         Registry registry = new Registry(1_000);
-        registry.leave("i-1", 0);
+        registry.markDeparted("i-1", 0);
         registry.merge(ready(1), 1);
         assertThat(registry.find("i-1").get().state()).isEqualTo(State.GONE);
-        registry.forgetOld(2_000);
+        registry.removeExpired(2_000);
         assertThat(registry.find("i-1")).isEmpty();
     }
 
@@ -58,11 +58,11 @@
         registry.merge(ready("i-recent"), startNanos + 80);
         registry.merge(ready("i-now"), startNanos + 100);
         long nowNanos = startNanos + 100;
-        assertThat(ids(registry.heardBetween(nowNanos - 20, nowNanos + 1)))
+        assertThat(ids(registry.receivedBetween(nowNanos - 20, nowNanos + 1)))
                 .containsExactly("i-recent", "i-now");
-        assertThat(ids(registry.heardBetween(nowNanos - 90, nowNanos - 20)))
+        assertThat(ids(registry.receivedBetween(nowNanos - 90, nowNanos - 20)))
                 .containsExactly("i-silent");
-        assertThat(registry.heardBetween(nowNanos - 90, nowNanos - 90)).isEmpty();
+        assertThat(registry.receivedBetween(nowNanos - 90, nowNanos - 90)).isEmpty();
     }
 
     private static List<String> ids(List<Registration> registrations) {
--- a/org.orchidmount.test/src/test/java/org/orchidmount/quarantine/CrashRecordTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/quarantine/CrashRecordTest.java
@@ -40,13 +40,13 @@
         "10 30 50 70 90 110, 1, true",
     })
     void isQuarantinedByThreeCrashesAtAPlaceOrSixAnywhere(
-            String places, int crashesHere, boolean isQuarantined) {
+            String places, int crashesAtPosition, boolean isQuarantined) {
         CrashRecord record = CrashRecord.none(REQUEST);
         for (String place : places.split(" ")) {
             record = record.afterCrash(0, Long.parseLong(place));
         }
         assertThat(record.crashes()).isEqualTo(places.split(" ").length);
-        assertThat(record.crashesHere()).isEqualTo(crashesHere);
+        assertThat(record.crashesAtPosition()).isEqualTo(crashesAtPosition);
         assertThat(record.isQuarantined()).isEqualTo(isQuarantined);
         assertThat(record.isSuspect()).isTrue();
     }
@@ -105,9 +105,9 @@
 
     @ParameterizedTest
     @CsvSource({"-1, 0, 0, 0", "0, -1, 0, 0", "0, 0, -1, 0", "0, 0, 0, -1"})
-    void negativeNumbersAreRefused(long epoch, int crashes, int crashesHere, long position) {
+    void negativeNumbersAreRefused(long epoch, int crashes, int crashesAtPosition, long position) {
         assertThrows(
                 IllegalArgumentException.class,
-                () -> new CrashRecord(REQUEST, epoch, crashes, crashesHere, position));
+                () -> new CrashRecord(REQUEST, epoch, crashes, crashesAtPosition, position));
     }
 }
--- a/org.orchidmount.test/src/test/java/org/orchidmount/quarantine/CrashReportsTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/quarantine/CrashReportsTest.java
@@ -66,7 +66,7 @@
             String id, long startMillis, String address, Registration.State state) {
         Incarnation incarnation =
                 startMillis == 0
-                        ? Incarnation.ofUnstatedStart(id)
+                        ? Incarnation.ofUnknownStart(id)
                         : Incarnation.startedAt(id, startMillis);
         return new Registration(
                 incarnation, "s", address, "a", 1, Registration.Stage.NONE, state, 1);
@@ -142,11 +142,11 @@
 
     @Test
     void copiesOfARequestRunOneAtATime() {
-        assertThat(mReports.tryBegin(REQUEST)).isTrue();
-        assertThat(mReports.tryBegin(REQUEST)).isFalse();
-        assertThat(mReports.tryBegin(Fingerprints.of("other"))).isTrue();
-        mReports.end(REQUEST);
-        assertThat(mReports.tryBegin(REQUEST)).isTrue();
+        assertThat(mReports.tryAcquireRunLock(REQUEST)).isTrue();
+        assertThat(mReports.tryAcquireRunLock(REQUEST)).isFalse();
+        assertThat(mReports.tryAcquireRunLock(Fingerprints.of("other"))).isTrue();
+        mReports.releaseRunLock(REQUEST);
+        assertThat(mReports.tryAcquireRunLock(REQUEST)).isTrue();
     }
 
     @Test
--- a/org.orchidmount.test/src/test/java/org/orchidmount/quarantine/RunGuardTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/quarantine/RunGuardTest.java
@@ -45,7 +45,7 @@
     @Test
     void noFingerprintIsMadeWhileNoCrashIsKnown() {
         try (RunGuard guard = guard(1)) {
-            assertThat(guard.mayRun()).isTrue();
+            assertThat(guard.tryBeginRun()).isTrue();
             assertThat(guard.isQuarantined()).isFalse();
             guard.survived();
         }
@@ -67,11 +67,11 @@
         crash(crashes);
         try (RunGuard other = guard(after)) {
             try (RunGuard one = guard(after)) {
-                assertThat(one.mayRun()).isEqualTo(first);
-                assertThat(one.mayRun()).isEqualTo(first);
-                assertThat(other.mayRun()).isEqualTo(second);
+                assertThat(one.tryBeginRun()).isEqualTo(first);
+                assertThat(one.tryBeginRun()).isEqualTo(first);
+                assertThat(other.tryBeginRun()).isEqualTo(second);
             }
-            assertThat(other.mayRun()).isEqualTo(first);
+            assertThat(other.tryBeginRun()).isEqualTo(first);
         }
     }
 
@@ -79,11 +79,11 @@
     @Test
     void aCrashCountsOnTopOfWhatWasKnownWhenTheRunBegan() {
         try (RunGuard guard = guard(1)) {
-            assertThat(guard.mayRun()).isTrue();
+            assertThat(guard.tryBeginRun()).isTrue();
             crash(2);
             guard.crashed(0, 0);
             assertThat(crashes()).isEqualTo(2);
-            assertThat(guard.mayRun()).isTrue();
+            assertThat(guard.tryBeginRun()).isTrue();
             guard.crashed(0, 0);
             assertThat(crashes()).isEqualTo(3);
         }
--- a/org.orchidmount.test/src/test/java/org/orchidmount/relay/RelayRulesPinTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/relay/RelayRulesPinTest.java
@@ -111,7 +111,7 @@
     }
 
     private static Incarnation incarnation(int number) {
-        return Incarnation.ofUnstatedStart("u-" + number);
+        return Incarnation.ofUnknownStart("u-" + number);
     }
 
     private static Registration registration(int number, Stage stage) {
--- a/org.orchidmount.test/src/test/java/org/orchidmount/relay/UpstreamDirectoryTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/relay/UpstreamDirectoryTest.java
@@ -63,7 +63,7 @@
     @Test
     void whatLeavesGetsNoNewWork() {
         mDirectory.update(ready("i-a", "a", 1));
-        mDirectory.update(ready("i-a", "a", 1).in(State.DRAINING));
+        mDirectory.update(ready("i-a", "a", 1).withState(State.DRAINING));
         mDirectory.update(ready("i-a", "a", 1));
         assertThat(mDirectory.assign(NEED, Set.of())).isEmpty();
     }
@@ -340,7 +340,7 @@
     void oneThatSaysSoLeaves(State state) {
         mDirectory.update(ready("i-a", "a", 1));
         Assignment assignment = mDirectory.assign(NEED, Set.of()).get();
-        mDirectory.update(ready("i-a", "a", 1).in(state));
+        mDirectory.update(ready("i-a", "a", 1).withState(state));
         assertThat(mDirectory.isLeaving(assignment)).isTrue();
         mDirectory.misdirected(assignment);
         assertThat(mDirectory.isLeaving(assignment)).isTrue();
@@ -420,7 +420,7 @@
 
     @Test
     void aNewStartTakesWorkAfterTheOneBeforeHasLeft() {
-        mDirectory.update(started("i-a", 1, 10).in(State.GONE));
+        mDirectory.update(started("i-a", 1, 10).withState(State.GONE));
         mDirectory.update(started("i-a", 2, 11));
         Assignment assignment = mDirectory.assign(NEED, Set.of()).get();
         assertThat(assignment.peer().host()).isEqualTo("10.0.0.2");
@@ -439,8 +439,8 @@
     @Test
     void anOlderStartThatArrivesLateChangesNothing() {
         mDirectory.update(started("i-a", 2, 11));
-        mDirectory.update(started("i-a", 1, 10).in(State.GONE));
-        mDirectory.update(ready("i-a", "a", 1).in(State.GONE));
+        mDirectory.update(started("i-a", 1, 10).withState(State.GONE));
+        mDirectory.update(ready("i-a", "a", 1).withState(State.GONE));
         Assignment assignment = mDirectory.assign(NEED, Set.of()).get();
         assertThat(assignment.peer().host()).isEqualTo("10.0.0.2");
     }
@@ -449,7 +449,7 @@
     @Test
     void anEarlierStartIsTakenOnceTheLaterOneHasLeft() {
         mDirectory.update(started("i-a", 1, 11));
-        mDirectory.update(started("i-a", 1, 11).in(State.GONE));
+        mDirectory.update(started("i-a", 1, 11).withState(State.GONE));
         mDirectory.update(started("i-a", 2, 10));
         Assignment assignment = mDirectory.assign(NEED, Set.of()).get();
         assertThat(assignment.peer().host()).isEqualTo("10.0.0.2");
@@ -470,7 +470,7 @@
         mDirectory.update(started("i-a", 1, 10));
         Assignment before = mDirectory.assign(NEED, Set.of()).get();
         assertThat(before.hasRestarted()).isFalse();
-        mDirectory.update(started("i-a", 1, 10).in(State.DRAINING));
+        mDirectory.update(started("i-a", 1, 10).withState(State.DRAINING));
         assertThat(before.hasRestarted()).isFalse();
         mDirectory.update(started("i-a", 1, 11));
         assertThat(before.hasRestarted()).isTrue();
@@ -533,11 +533,11 @@
     }
 
     private static Set<Incarnation> tried(String id) {
-        return Set.of(Incarnation.ofUnstatedStart(id));
+        return Set.of(Incarnation.ofUnknownStart(id));
     }
 
     private static Registration started(String id, int machine, long startMillis) {
-        return ready(id, "a", machine).by(Incarnation.startedAt(id, startMillis));
+        return ready(id, "a", machine).withIncarnation(Incarnation.startedAt(id, startMillis));
     }
 
     private static Registration engine(String id) {
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/ClusterCodec.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/ClusterCodec.java
@@ -286,7 +286,8 @@
                 List<OptionalLong> starts = readStarts(in, registrations.size());
                 for (int i = 0; i < starts.size(); i++) {
                     Registration read = registrations.get(i);
-                    registrations.set(i, read.by(incarnation(read.id(), starts.get(i))));
+                    registrations.set(
+                            i, read.withIncarnation(incarnation(read.id(), starts.get(i))));
                 }
                 yield new Registrations(
                         number, usable(registrations, ClusterCodec::isUsable, rejections));
@@ -305,7 +306,8 @@
                 List<OptionalLong> starts = readStarts(in, sequences.size());
                 for (int i = 0; i < starts.size(); i++) {
                     InFlightSequence read = sequences.get(i);
-                    sequences.set(i, read.at(incarnation(read.upstreamId(), starts.get(i))));
+                    sequences.set(
+                            i, read.withIncarnation(incarnation(read.upstreamId(), starts.get(i))));
                 }
                 yield new InFlightSequences(
                         usable(sequences, PeerRecordValidator::isUsable, rejections));
@@ -462,12 +464,12 @@
      */
     private static void writeStarts(MessageBufferPacker out, List<Incarnation> incarnations)
             throws IOException {
-        if (incarnations.stream().noneMatch(Incarnation::isStartStated)) {
+        if (incarnations.stream().noneMatch(Incarnation::isStartKnown)) {
             return;
         }
         out.packArrayHeader(incarnations.size());
         for (Incarnation incarnation : incarnations) {
-            if (incarnation.isStartStated()) {
+            if (incarnation.isStartKnown()) {
                 out.packLong(incarnation.startMillis().getAsLong());
             } else {
                 out.packNil();
@@ -500,7 +502,7 @@
     private static Incarnation incarnation(String id, OptionalLong startMillis) {
         return startMillis.isPresent()
                 ? Incarnation.startedAt(id, startMillis.getAsLong())
-                : Incarnation.ofUnstatedStart(id);
+                : Incarnation.ofUnknownStart(id);
     }
 
     private static void writeSequences(MessageBufferPacker out, List<InFlightSequence> sequences)
@@ -517,7 +519,7 @@
 
     private static InFlightSequence readSequence(MessageUnpacker in) throws IOException {
         return new InFlightSequence(
-                Incarnation.ofUnstatedStart(in.unpackString()),
+                Incarnation.ofUnknownStart(in.unpackString()),
                 in.unpackString(),
                 in.unpackInt(),
                 in.unpackInt(),
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/CrashRecordCodec.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/CrashRecordCodec.java
@@ -21,7 +21,7 @@
         out.packArrayHeader(records.size());
         for (CrashRecord record : records) {
             out.packString(record.fingerprint().hex()).packLong(record.epoch());
-            out.packInt(record.crashes()).packInt(record.crashesHere());
+            out.packInt(record.crashes()).packInt(record.crashesAtPosition());
             out.packLong(record.position());
         }
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/EntryNode.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/EntryNode.java
@@ -231,7 +231,7 @@
      *
      * @return the time since the last confirmation, or since the start if there was none
      */
-    public Duration unconfirmedFor() {
+    public Duration timeSinceConfirmation() {
         return Duration.ofNanos(mClock.nanoTime() - mConfirmedNanos);
     }
 
@@ -240,7 +240,7 @@
      *
      * @return the number, at least 1
      */
-    public int entries() {
+    public int entryCount() {
         return mEntryCount;
     }
 
@@ -393,11 +393,11 @@
      *
      * @return the client
      */
-    public QuotaOwnerClient countingOwner() {
-        return new CountingOwnerClient();
+    public QuotaOwnerClient upstreamQuotaClient() {
+        return new UpstreamQuotaClient();
     }
 
-    private final class CountingOwnerClient implements QuotaOwnerClient {
+    private final class UpstreamQuotaClient implements QuotaOwnerClient {
         @Override
         public CompletableFuture<QuotaAnswer> requestUnits(QuotaRequest request) {
             CompletableFuture<QuotaAnswer> answer = new CompletableFuture<>();
@@ -457,7 +457,7 @@
         for (Registration registration : registrations.registrations()) {
             Optional<Registration> changed =
                     registrations.isDeparture()
-                            ? mRegistry.depart(registration, nowNanos)
+                            ? mRegistry.mergeDeparture(registration, nowNanos)
                             : mRegistry.merge(registration, nowNanos);
             changed.ifPresent(mListener::onRegistration);
         }
@@ -552,7 +552,7 @@
             mSeenNanos.remove(address);
             mDialers.remove(address).close();
         }
-        mRegistry.forgetOld(nowNanos);
+        mRegistry.removeExpired(nowNanos);
         if (mLinks.isEmpty()) {
             mLastUnlinkedNanos = nowNanos;
         }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/StageController.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/StageController.java
@@ -201,7 +201,7 @@
         Optional<Incarnation> next =
                 current.stream()
                         .map(Registration::incarnation)
-                        .filter(incarnation -> incarnation.provesEndOf(ordered))
+                        .filter(incarnation -> incarnation.supersedes(ordered))
                         .findAny();
         if (next.isPresent()) {
             LOG.info("engine %s has restarted as %s; its order is dropped", ordered, next.get());
@@ -254,7 +254,7 @@
         BooleanSupplier maySend = () -> !hasRestarted.get() && stillHeld.getAsBoolean();
         LOG.info(
                 "ordering engine %s at %s to change to stage %s, fencing token %d",
-                order.engine().id(), order.engine().address(), order.stage(), order.fence());
+                order.engine().id(), order.engine().address(), order.stage(), order.fencingToken());
         Thread.ofVirtual().name("order").start(() -> sendOrder(order, maySend, nowNanos));
     }
 
@@ -277,7 +277,7 @@
     private void observe(Registration engine, UpstreamStatement stated) {
         mPauses.observe(engine.incarnation(), stated.pause());
         if (stated.isLeaving()) {
-            mDepartures.accept(engine.in(Registration.State.DRAINING));
+            mDepartures.accept(engine.withState(Registration.State.DRAINING));
         }
     }
 
@@ -288,7 +288,7 @@
                 mPending = null;
                 mCooldownUntilNanos = ended.orderedNanos() + ORDER_COOLDOWN.toNanos();
             }
-            case FENCED -> mFenced = ended.order().fence() == mTerm;
+            case FENCED -> mFenced = ended.order().fencingToken() == mTerm;
             case UNKNOWN -> mCooldownUntilNanos = ended.orderedNanos() + ORDER_TIMEOUT.toNanos();
             default -> throw new IllegalStateException("unexpected order result " + ended.result());
         }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/StageOrderClient.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/StageOrderClient.java
@@ -35,9 +35,9 @@
      * @param engine the engine's registration
      * @param stage the stage to change to
      * @param holder the name under which the order is given
-     * @param fence the fencing token: the term of the leader that gives the order
+     * @param fencingToken the fencing token: the term of the leader that gives the order
      */
-    record Order(Registration engine, Registration.Stage stage, String holder, long fence) {}
+    record Order(Registration engine, Registration.Stage stage, String holder, long fencingToken) {}
 
     /** The result of an order. */
     enum Result {
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/UpstreamLimitCodec.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/UpstreamLimitCodec.java
@@ -58,7 +58,7 @@
             String id = in.unpackString();
             Incarnation upstream =
                     in.tryUnpackNil()
-                            ? Incarnation.ofUnstatedStart(id)
+                            ? Incarnation.ofUnknownStart(id)
                             : Incarnation.startedAt(id, in.unpackLong());
             OptionalDouble perSecond =
                     in.tryUnpackNil()
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterNode.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterNode.java
@@ -285,7 +285,7 @@
      *
      * @param parser the parser of table documents
      */
-    public void requireNamedServices(RouteTableParser parser) {
+    public void holdBackUnknownServices(RouteTableParser parser) {
         mTasks.post(
                 () -> {
                     mGate = new ServiceGate(parser);
@@ -365,7 +365,7 @@
         long nowNanos = mClock.nanoTime();
         Optional<Registration> changed =
                 isLeaving(registration)
-                        ? mRegistry.depart(registration, nowNanos)
+                        ? mRegistry.mergeDeparture(registration, nowNanos)
                         : mRegistry.merge(registration, nowNanos);
         changed.ifPresent(VoterNode::logChange);
         queueForVoters(registration);
@@ -402,14 +402,14 @@
      * @param id the identity of the upstream
      * @return true once a quorum of the voters holds it; false if this voter may be cut off
      */
-    public CompletableFuture<Boolean> leave(String id) {
+    public CompletableFuture<Boolean> deregister(String id) {
         CompletableFuture<Boolean> done = new CompletableFuture<>();
         mTasks.post(
                 () -> {
                     if (mGate != null) {
                         mGate.remove(id);
                     }
-                    Registration gone = mRegistry.leave(id, mClock.nanoTime());
+                    Registration gone = mRegistry.markDeparted(id, mClock.nanoTime());
                     logChange(gone);
                     replicateDeparture(gone, done);
                 });
@@ -426,7 +426,7 @@
         done.whenComplete((held, error) -> mTasks.post(() -> mDepartures.remove(number)));
         mLinks.sendToVoters(new Registrations(number, List.of(leaving)));
         // Without a start time, an entry applies a departure only if it is sent as just received.
-        long entryNumber = leaving.incarnation().isStartStated() ? 0 : number;
+        long entryNumber = leaving.incarnation().isStartKnown() ? 0 : number;
         mLinks.sendToEntries(new Registrations(entryNumber, List.of(leaving)));
         mDepartures.complete(number, mReplica.state().quorum());
     }
@@ -535,7 +535,7 @@
      * their departures are not among these.
      */
     private void resendDepartures(Link entry) {
-        List<Registration> departures = mRegistry.departuresWithoutStart();
+        List<Registration> departures = mRegistry.departuresWithoutStartTime();
         if (mReplica.isInTouch() && !departures.isEmpty()) {
             entry.send(new Registrations(PendingDepartures.UNTRACKED, departures));
         }
@@ -566,7 +566,7 @@
         for (Registration registration : registrations.registrations()) {
             Optional<Registration> changed =
                     registrations.isDeparture()
-                            ? mRegistry.depart(registration, nowNanos)
+                            ? mRegistry.mergeDeparture(registration, nowNanos)
                             : mRegistry.merge(registration, nowNanos);
             changed.ifPresent(this::forward);
         }
@@ -598,8 +598,8 @@
         long term = mReplica.holdsQuorum() ? mReplica.term() : -1;
         long countedNanos = nowNanos - mStages.countedWithin().toNanos();
         long expectedNanos = nowNanos - mStages.expectedWithin().toNanos();
-        List<Registration> current = mRegistry.heardBetween(countedNanos, nowNanos + 1);
-        List<Registration> silent = mRegistry.heardBetween(expectedNanos, countedNanos);
+        List<Registration> current = mRegistry.receivedBetween(countedNanos, nowNanos + 1);
+        List<Registration> silent = mRegistry.receivedBetween(expectedNanos, countedNanos);
         mStages.tick(term, current, silent, () -> stillLeads(term), nowNanos);
     }
 
@@ -624,7 +624,7 @@
     private void runMaintenance() {
         long nowNanos = mClock.nanoTime();
         mLinks.forgetSilentPeers(mReplica.state().members(), nowNanos);
-        mRegistry.forgetOld(nowNanos);
+        mRegistry.removeExpired(nowNanos);
         mRecords.forgetEnded(mRegistry);
         mQuota.logUses();
         mLinks.sendToEntries(notice());
--- a/org.orchidmount/src/main/java/org/orchidmount/load/EngineLoads.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/load/EngineLoads.java
@@ -67,7 +67,7 @@
     private record Announcement(
             InFlightSequence sequence, long firstReceivedNanos, long lastReceivedNanos) {
         boolean isWithoutIncarnation() {
-            return !sequence.engine().isStartStated();
+            return !sequence.engine().isStartKnown();
         }
 
         Announcement asEnded() {
@@ -118,7 +118,7 @@
             if (mIncarnations.size() > MAX_INCARNATIONS) {
                 mIncarnations.keySet().retainAll(mSequences.keySet());
             }
-            if (!engine.isStartStated()) {
+            if (!engine.isStartKnown()) {
                 mIncarnations.remove(engine.id());
                 return;
             }
@@ -132,7 +132,7 @@
 
     private void removeEarlierIncarnations(Incarnation engine) {
         Map<String, Announcement> atEngine = mSequences.getOrDefault(engine.id(), new HashMap<>());
-        atEngine.values().removeIf(old -> engine.provesEndOf(old.sequence().engine()));
+        atEngine.values().removeIf(old -> engine.supersedes(old.sequence().engine()));
     }
 
     /**
@@ -150,7 +150,7 @@
      */
     private boolean isOfEarlierIncarnation(InFlightSequence sequence) {
         Incarnation registered = mIncarnations.get(sequence.upstreamId());
-        return registered != null && registered.provesEndOf(sequence.engine());
+        return registered != null && registered.supersedes(sequence.engine());
     }
 
     /**
--- a/org.orchidmount/src/main/java/org/orchidmount/load/InFlightSequence.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/load/InFlightSequence.java
@@ -28,7 +28,7 @@
         int maxOutputTokens,
         int generatedTokens,
         boolean ended) {
-    private static final Incarnation NOT_PLACED = Incarnation.ofUnstatedStart("");
+    private static final Incarnation NOT_PLACED = Incarnation.ofUnknownStart("");
 
     /**
      * Returns the id of the engine, which does not change when the engine restarts.
@@ -111,7 +111,7 @@
      * @param newEngine the engine and its incarnation
      * @return the updated sequence
      */
-    public InFlightSequence at(Incarnation newEngine) {
+    public InFlightSequence withIncarnation(Incarnation newEngine) {
         return new InFlightSequence(
                 newEngine,
                 id,
--- a/org.orchidmount/src/main/java/org/orchidmount/membership/Incarnation.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/membership/Incarnation.java
@@ -66,7 +66,7 @@
      * @param id identity of the upstream
      * @return the incarnation
      */
-    public static Incarnation ofUnstatedStart(String id) {
+    public static Incarnation ofUnknownStart(String id) {
         return new Incarnation(id, NOT_STATED);
     }
 
@@ -85,7 +85,7 @@
      * @return Unix milliseconds by the upstream's clock; empty if the start is not stated
      */
     public OptionalLong startMillis() {
-        return isStartStated() ? OptionalLong.of(mStartMillis) : OptionalLong.empty();
+        return isStartKnown() ? OptionalLong.of(mStartMillis) : OptionalLong.empty();
     }
 
     /**
@@ -93,7 +93,7 @@
      *
      * @return true if the start is known
      */
-    public boolean isStartStated() {
+    public boolean isStartKnown() {
         return mStartMillis != NOT_STATED;
     }
 
@@ -114,8 +114,8 @@
      * @param other the other incarnation
      * @return true if the other start is stated and this one is newer
      */
-    public boolean provesEndOf(Incarnation other) {
-        return other.isStartStated() && isNewerThan(other);
+    public boolean supersedes(Incarnation other) {
+        return other.isStartKnown() && isNewerThan(other);
     }
 
     @Override
@@ -133,6 +133,6 @@
     /** Returns the identity, followed by the start if it is stated, for logs. */
     @Override
     public String toString() {
-        return isStartStated() ? mId + "@" + mStartMillis : mId;
+        return isStartKnown() ? mId + "@" + mStartMillis : mId;
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/membership/Registration.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/membership/Registration.java
@@ -71,15 +71,7 @@
             Stage stage,
             State state,
             long sequence) {
-        this(
-                Incarnation.ofUnstatedStart(id),
-                service,
-                address,
-                zone,
-                slots,
-                stage,
-                state,
-                sequence);
+        this(Incarnation.ofUnknownStart(id), service, address, zone, slots, stage, state, sequence);
     }
 
     /**
@@ -97,7 +89,7 @@
      * @param other the incarnation
      * @return the copy
      */
-    public Registration by(Incarnation other) {
+    public Registration withIncarnation(Incarnation other) {
         return new Registration(other, service, address, zone, slots, stage, state, sequence);
     }
 
@@ -107,7 +99,7 @@
      * @param changed the state
      * @return the copy
      */
-    public Registration in(State changed) {
+    public Registration withState(State changed) {
         return new Registration(
                 incarnation, service, address, zone, slots, stage, changed, sequence);
     }
@@ -129,7 +121,7 @@
         }
         Registration newer = other.sequence > sequence ? other : this;
         State furthest = state.compareTo(other.state) >= 0 ? state : other.state;
-        return newer.state == furthest ? newer : newer.in(furthest);
+        return newer.state == furthest ? newer : newer.withState(furthest);
     }
 
     /**
--- a/org.orchidmount/src/main/java/org/orchidmount/membership/Registry.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/membership/Registry.java
@@ -63,18 +63,18 @@
     /**
      * Merges the notice of a departure that another instance has just received. A notice without a
      * start, either because it names only the identity or because that instance does not forward
-     * starts, applies to the incarnation held now, as in {@link #leave}.
+     * starts, applies to the incarnation held now, as in {@link #markDeparted}.
      *
      * @param leaving the registration
      * @param nowNanos monotonic time
      * @return the registration now held if it changed in more than the sequence number, else empty
      */
-    public Optional<Registration> depart(Registration leaving, long nowNanos) {
+    public Optional<Registration> mergeDeparture(Registration leaving, long nowNanos) {
         Entry held = mEntries.get(leaving.id());
-        if (held == null || leaving.incarnation().isStartStated()) {
+        if (held == null || leaving.incarnation().isStartKnown()) {
             return merge(leaving, nowNanos);
         }
-        return merge(held.registration().in(leaving.state()), nowNanos);
+        return merge(held.registration().withState(leaving.state()), nowNanos);
     }
 
     /**
@@ -87,13 +87,13 @@
      * @param nowNanos monotonic time
      * @return the registration now held
      */
-    public Registration leave(String id, long nowNanos) {
+    public Registration markDeparted(String id, long nowNanos) {
         Entry held = mEntries.get(id);
         Registration gone =
                 held == null
                         ? new Registration(
                                 id, "", "", "", 0, Registration.Stage.NONE, State.GONE, 0)
-                        : held.registration().in(State.GONE);
+                        : held.registration().withState(State.GONE);
         mEntries.put(id, new Entry(gone, nowNanos));
         return gone;
     }
@@ -125,11 +125,11 @@
      *
      * @return a copy
      */
-    public List<Registration> departuresWithoutStart() {
+    public List<Registration> departuresWithoutStartTime() {
         return mEntries.values().stream()
                 .map(Entry::registration)
                 .filter(held -> held.state() == State.GONE)
-                .filter(held -> !held.incarnation().isStartStated())
+                .filter(held -> !held.incarnation().isStartKnown())
                 .toList();
     }
 
@@ -140,7 +140,7 @@
      * @param beforeNanos monotonic end of the period, exclusive
      * @return a copy
      */
-    public List<Registration> heardBetween(long fromNanos, long beforeNanos) {
+    public List<Registration> receivedBetween(long fromNanos, long beforeNanos) {
         List<Registration> received = new ArrayList<>();
         for (Entry entry : mEntries.values()) {
             long receivedNanos = entry.receivedNanos();
@@ -156,7 +156,7 @@
      *
      * @param nowNanos monotonic time
      */
-    public void forgetOld(long nowNanos) {
+    public void removeExpired(long nowNanos) {
         mEntries.values()
                 .removeIf(
                         entry ->
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashRecord.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashRecord.java
@@ -29,11 +29,15 @@
  * @param fingerprint fingerprint of the request
  * @param epoch number that increases each time the request is cleared
  * @param crashes consecutive crashes in this epoch
- * @param crashesHere the most recent of these crashes that occurred at the same position
+ * @param crashesAtPosition the most recent of these crashes that occurred at the same position
  * @param position that position: the number of the last event of the output; 0 for none
  */
 public record CrashRecord(
-        RequestFingerprint fingerprint, long epoch, int crashes, int crashesHere, long position) {
+        RequestFingerprint fingerprint,
+        long epoch,
+        int crashes,
+        int crashesAtPosition,
+        long position) {
     /**
      * Crashes at one position after which a request is not run again; the specification allows
      * three.
@@ -61,10 +65,10 @@
      * @throws IllegalArgumentException if a number is negative
      */
     public CrashRecord {
-        if (epoch < 0 || crashes < 0 || crashesHere < 0 || position < 0) {
+        if (epoch < 0 || crashes < 0 || crashesAtPosition < 0 || position < 0) {
             throw new IllegalArgumentException(
                     "invalid crash record: epoch %d, %d crashes, %d of them at position %d; no"
-                                    .formatted(epoch, crashes, crashesHere, position)
+                                    .formatted(epoch, crashes, crashesAtPosition, position)
                             + " number may be negative");
         }
     }
@@ -89,7 +93,7 @@
      * @return the record that includes the crash
      */
     public CrashRecord afterCrash(long resumePosition, long crashPosition) {
-        int atPosition = isSamePosition(resumePosition, crashPosition) ? crashesHere + 1 : 1;
+        int atPosition = isSamePosition(resumePosition, crashPosition) ? crashesAtPosition + 1 : 1;
         return new CrashRecord(fingerprint, epoch, crashes + 1, atPosition, crashPosition);
     }
 
@@ -127,9 +131,9 @@
         if (crashes != other.crashes) {
             return crashes > other.crashes;
         }
-        return crashesHere == other.crashesHere
+        return crashesAtPosition == other.crashesAtPosition
                 ? position > other.position
-                : crashesHere > other.crashesHere;
+                : crashesAtPosition > other.crashesAtPosition;
     }
 
     /**
@@ -147,6 +151,6 @@
      * @return true if too many upstreams have crashed while running it
      */
     public boolean isQuarantined() {
-        return crashesHere >= QUARANTINE_AFTER || crashes >= QUARANTINE_AFTER_TOTAL;
+        return crashesAtPosition >= QUARANTINE_AFTER || crashes >= QUARANTINE_AFTER_TOTAL;
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashReports.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashReports.java
@@ -99,7 +99,7 @@
      * @param request fingerprint of the request
      * @return false if another copy is running
      */
-    boolean tryBegin(RequestFingerprint request) {
+    boolean tryAcquireRunLock(RequestFingerprint request) {
         if (!mRunning.tryBegin(request)) {
             return false;
         }
@@ -110,8 +110,8 @@
         return false;
     }
 
-    /** Releases what {@link #tryBegin} has acquired. */
-    void end(RequestFingerprint request) {
+    /** Releases what {@link #tryAcquireRunLock} has acquired. */
+    void releaseRunLock(RequestFingerprint request) {
         mRunLock.release(request);
         mRunning.end(request);
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/RunGuard.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/RunGuard.java
@@ -20,13 +20,13 @@
  */
 public final class RunGuard implements AutoCloseable {
     /** Number of crashes from which copies of a request to a model engine run one at a time. */
-    public static final int PROMPT_TAKES_TURNS_AFTER = 1;
+    public static final int SERIALIZE_PROMPTS_AFTER = 1;
 
     /**
      * The same number for plain services. Many callers send them identical requests at once, and
      * these must not all wait for one another because an upstream crashed for another reason.
      */
-    public static final int PLAIN_TAKES_TURNS_AFTER = 2;
+    public static final int SERIALIZE_PLAIN_AFTER = 2;
 
     private final CrashReports mReports;
     private final Supplier<RequestFingerprint> mMakeFingerprint;
@@ -83,7 +83,7 @@
      * @return false if the request must not run now, because it is quarantined or another copy of
      *     it is running
      */
-    public boolean mayRun() {
+    public boolean tryBeginRun() {
         mKnownRecord = mReports.isEmpty() ? null : mReports.find(fingerprint());
         if (mKnownRecord == null) {
             return true;
@@ -101,7 +101,7 @@
         if (mKnownRecord.crashes() < mSerializeAfter || mHasRunLock) {
             return true;
         }
-        mHasRunLock = mReports.tryBegin(fingerprint());
+        mHasRunLock = mReports.tryAcquireRunLock(fingerprint());
         mKnownRecord = mReports.find(fingerprint());
         return mHasRunLock;
     }
@@ -149,7 +149,7 @@
                 isPlanned,
                 () -> {
                     if (hadRunLock) {
-                        mReports.end(fingerprint());
+                        mReports.releaseRunLock(fingerprint());
                     }
                 });
     }
@@ -170,7 +170,7 @@
     @Override
     public void close() {
         if (mHasRunLock) {
-            mReports.end(fingerprint());
+            mReports.releaseRunLock(fingerprint());
         }
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/UnconfirmedCrashes.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/UnconfirmedCrashes.java
@@ -42,7 +42,7 @@
         boolean isConfirmedBy(Registration registration) {
             Incarnation other = registration.incarnation();
             if (other.id().equals(upstream.id())) {
-                return other.provesEndOf(upstream);
+                return other.supersedes(upstream);
             }
             return registration.state() == Registration.State.READY
                     && registration.address().equals(address);
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/CrashReporter.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/CrashReporter.java
@@ -41,8 +41,8 @@
                         mReports,
                         this::fingerprint,
                         request.prompt().isPresent()
-                                ? RunGuard.PROMPT_TAKES_TURNS_AFTER
-                                : RunGuard.PLAIN_TAKES_TURNS_AFTER);
+                                ? RunGuard.SERIALIZE_PROMPTS_AFTER
+                                : RunGuard.SERIALIZE_PLAIN_AFTER);
     }
 
     private RequestFingerprint fingerprint() {
@@ -63,8 +63,8 @@
      * Begins a run; returns false if the request must not run now, because it is quarantined or a
      * copy of it is running.
      */
-    boolean mayRun() {
-        return mGuard.mayRun();
+    boolean tryBeginRun() {
+        return mGuard.tryBeginRun();
     }
 
     /**
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Prefiller.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Prefiller.java
@@ -172,7 +172,7 @@
     private boolean mayAsk(int asked) {
         return !mCancel.isCancelled()
                 && asked < MAX_ENGINES
-                && mCrashReporter.mayRun()
+                && mCrashReporter.tryBeginRun()
                 && (mCalls == 0 || mContext.retryBudget(mService.name()).tryAcquire());
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RequestRelay.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RequestRelay.java
@@ -155,7 +155,7 @@
         return !mCancel.isCancelled()
                 && mIsStillAllowed.getAsBoolean()
                 && AttemptRule.mayTry(mHistory, mRequest.route().attemptLimits(), timeLeft())
-                && mCrashReporter.mayRun()
+                && mCrashReporter.tryBeginRun()
                 && (!AttemptRule.takesFromBudget(mHistory) || mBudget.tryAcquire());
     }
 
@@ -226,7 +226,7 @@
             // During the wait for a placement and the prefill, the table may have changed, or the
             // same request may have crashed upstreams elsewhere.
             AttemptOutcome outcome =
-                    mIsStillAllowed.getAsBoolean() && mCrashReporter.mayRun()
+                    mIsStillAllowed.getAsBoolean() && mCrashReporter.tryBeginRun()
                             ? mAttempts.run(placement, cache, mHistory)
                             : AttemptOutcome.NOT_REACHED;
             boolean isAnswered =
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Upstream.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Upstream.java
@@ -59,7 +59,7 @@
      */
     void markReplaced() {
         mIsReplaced |= isReady();
-        update(mRegistration.in(State.GONE));
+        update(mRegistration.withState(State.GONE));
     }
 
     boolean isReplaced() {
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamDirectory.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamDirectory.java
@@ -112,7 +112,7 @@
             if (!assignment.upstream().isReady()) {
                 return;
             }
-            leaving = assignment.upstream().registration().in(State.DRAINING);
+            leaving = assignment.upstream().registration().withState(State.DRAINING);
         }
         LOG.info("upstream %s states in a response that it is leaving", assignment.incarnation());
         update(leaving);
@@ -165,7 +165,7 @@
     private static boolean isNewIncarnation(Registration registration, Upstream known) {
         Incarnation incarnation = registration.incarnation();
         boolean isOther = !incarnation.equals(known.incarnation());
-        return isOther && (incarnation.provesEndOf(known.incarnation()) || known.isGone());
+        return isOther && (incarnation.supersedes(known.incarnation()) || known.isGone());
     }
 
     private void add(Registration registration) {
