--- a/org.orchidmount.test/src/test/java/org/orchidmount/load/EngineLoadsTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/load/EngineLoadsTest.java
@@ -101,7 +101,7 @@
         }
         long borne = 0;
         for (int i = 0; i < most + 3; i++) {
-            borne += mLoads.keepsPlace(run("i-1", "r-" + i), MEMORY, SPEED) ? 1 : 0;
+            borne += mLoads.keepsPlacement(run("i-1", "r-" + i), MEMORY, SPEED) ? 1 : 0;
         }
         assertThat(borne).isEqualTo(most);
     }
@@ -111,8 +111,8 @@
         admitted(Duration.ZERO);
         mClock.advance(Duration.ofMillis(200));
         mLoads.update(run("i-1", "a-later"));
-        assertThat(mLoads.keepsPlace(run("i-1", "a-later"), MEMORY, SPEED)).isFalse();
-        assertThat(mLoads.keepsPlace(run("i-1", "r-0"), MEMORY, SPEED)).isTrue();
+        assertThat(mLoads.keepsPlacement(run("i-1", "a-later"), MEMORY, SPEED)).isFalse();
+        assertThat(mLoads.keepsPlacement(run("i-1", "r-0"), MEMORY, SPEED)).isTrue();
     }
 
     @ParameterizedTest
@@ -137,36 +137,36 @@
     void aNewStartHoldsNothingOfWhatTheOneBeforeHeld() {
         fill(OLD);
         assertThat(isCrowded("i-1")).isTrue();
-        mLoads.registered(NEW);
+        mLoads.onRegistration(NEW);
         assertThat(isCrowded("i-1")).isFalse();
         fill(OLD);
         assertThat(isCrowded("i-1")).isFalse();
         assertThat(mLoads.usedMemoryTokens("i-1", SPEED)).isEqualTo(0);
         fill(NEW);
         assertThat(isCrowded("i-1")).isTrue();
-        mLoads.registered(NEW);
+        mLoads.onRegistration(NEW);
         assertThat(isCrowded("i-1")).isTrue();
     }
 
     /** An announcement may come before the registration of the start that it is made for. */
     @Test
     void anAnnouncementThatComesBeforeTheNewStartCounts() {
-        mLoads.registered(OLD);
+        mLoads.onRegistration(OLD);
         fill(OLD);
         mLoads.update(run("i-1", "r-new").withIncarnation(NEW));
-        mLoads.registered(NEW);
+        mLoads.onRegistration(NEW);
         assertThat(mLoads.usedMemoryTokens("i-1", SPEED)).isEqualTo(PROMPT);
     }
 
     /** A start too far in the future is taken until it has left and is forgotten. */
     @Test
     void anEarlierStartThatIsRegisteredAfterAllTakesThePlaceOfALaterOne() {
-        mLoads.registered(NEW);
-        mLoads.registered(OLD);
+        mLoads.onRegistration(NEW);
+        mLoads.onRegistration(OLD);
         InFlightSequence run = run("i-1", "r-1").withIncarnation(OLD);
         mLoads.update(run);
         assertThat(mLoads.usedMemoryTokens("i-1", SPEED)).isEqualTo(PROMPT);
-        assertThat(mLoads.keepsPlace(run, MEMORY, SPEED)).isTrue();
+        assertThat(mLoads.keepsPlacement(run, MEMORY, SPEED)).isTrue();
     }
 
     /** The prompts that the one before was given are not waited for. */
@@ -175,7 +175,7 @@
         InFlightSequence prefill = InFlightSequence.ofPrefill("r-1", PROMPT);
         mLoads.update(prefill.placedAt(OLD, 1));
         assertThat(mLoads.prefillBacklogTokens("i-1")).isEqualTo(PROMPT);
-        mLoads.registered(NEW);
+        mLoads.onRegistration(NEW);
         assertThat(mLoads.prefillBacklogTokens("i-1")).isEqualTo(0);
     }
 
@@ -185,10 +185,10 @@
      */
     @Test
     void announcementsWithoutAStartCountOnlyIfTheyBeginAfterIt() {
-        mLoads.registered(OLD);
+        mLoads.onRegistration(OLD);
         Incarnation unstated = Incarnation.ofUnknownStart("i-1");
         fill(unstated);
-        mLoads.registered(NEW);
+        mLoads.onRegistration(NEW);
         for (int i = 0; i < 10; i++) {
             fill(unstated);
             assertThat(isCrowded("i-1")).isFalse();
@@ -203,19 +203,19 @@
     void aStartThatBecomesKnownEndsNothing() {
         Incarnation unstated = Incarnation.ofUnknownStart("i-1");
         fill(unstated);
-        mLoads.registered(OLD);
+        mLoads.onRegistration(OLD);
         fill(unstated);
         assertThat(isCrowded("i-1")).isTrue();
-        assertThat(mLoads.keepsPlace(run("i-1", "r-0"), MEMORY, SPEED)).isTrue();
+        assertThat(mLoads.keepsPlacement(run("i-1", "r-0"), MEMORY, SPEED)).isTrue();
     }
 
     @Test
     void aRunWhoseEngineHasStartedAgainDoesNotKeepItsPlace() {
         InFlightSequence own = run("i-1", "r-own").withIncarnation(OLD);
         mLoads.update(own);
-        assertThat(mLoads.keepsPlace(own, MEMORY, SPEED)).isTrue();
-        mLoads.registered(NEW);
-        assertThat(mLoads.keepsPlace(own, MEMORY, SPEED)).isFalse();
+        assertThat(mLoads.keepsPlacement(own, MEMORY, SPEED)).isTrue();
+        mLoads.onRegistration(NEW);
+        assertThat(mLoads.keepsPlacement(own, MEMORY, SPEED)).isFalse();
     }
 
     /** Announces 40 runs, far more than an engine bears. */
--- a/org.orchidmount.test/src/test/java/org/orchidmount/load/EngineMemoryPinTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/load/EngineMemoryPinTest.java
@@ -57,7 +57,7 @@
                 .formatted(
                         new TreeSet<>(
                                 mLoads.saturatedEngines(run(random, -1), SIZE, mSpeed.speed())),
-                        mLoads.keepsPlace(newest, SIZE, mSpeed.speed()),
+                        mLoads.keepsPlacement(newest, SIZE, mSpeed.speed()),
                         engines());
     }
 
--- a/org.orchidmount.test/src/test/java/org/orchidmount/relay/RelayRulesPinTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/relay/RelayRulesPinTest.java
@@ -73,7 +73,7 @@
             assignment.ifPresent(held::add);
             String outcome = held.isEmpty() ? "" : outcome(directory, held, random);
             String chosen = assignment.map(Assignment::id).orElse("none");
-            double done = assignment.map(Assignment::ordinaryMillis).orElse(0.0);
+            double done = assignment.map(Assignment::nominalMillis).orElse(0.0);
             lines.add(
                     String.format(
                             Locale.ROOT,
--- a/org.orchidmount.test/src/test/java/org/orchidmount/routing/EngineScaleTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/routing/EngineScaleTest.java
@@ -109,7 +109,7 @@
             double workMillis = speed.requestMillis(prompt);
             lines.add(rounded("full", UpstreamCost.memoryMillis(share, workMillis) / workMillis));
             Duration left = target.multipliedBy(15);
-            Duration silence = PrefillTimeoutRule.silenceLimit(queueMillis, target, left);
+            Duration silence = PrefillTimeoutRule.responseTimeout(queueMillis, target, left);
             lines.add(shareOf("silent", silence, target));
             Duration back = RetryAfter.engines(speed, new SplittableRandom(i));
             lines.add(shareOf("back", back, target));
--- a/org.orchidmount/src/main/java/org/orchidmount/load/EngineLoads.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/load/EngineLoads.java
@@ -113,7 +113,7 @@
      * @param engine the engine with its incarnation; one that states no incarnation clears the
      *     recorded one
      */
-    public void registered(Incarnation engine) {
+    public void onRegistration(Incarnation engine) {
         try (OrderedLock.Held _ = mLock.hold()) {
             if (mIncarnations.size() > MAX_INCARNATIONS) {
                 mIncarnations.keySet().retainAll(mSequences.keySet());
@@ -263,7 +263,7 @@
      * @return false if the sequence must be placed on another engine, because it does not fit or
      *     because the engine has restarted
      */
-    public boolean keepsPlace(InFlightSequence sequence, long memoryTokens, EngineSpeed speed) {
+    public boolean keepsPlacement(InFlightSequence sequence, long memoryTokens, EngineSpeed speed) {
         try (OrderedLock.Held _ = mLock.hold()) {
             if (isOfEarlierIncarnation(sequence)) {
                 return false;
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Assignment.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Assignment.java
@@ -17,16 +17,16 @@
 final class Assignment {
     private final Upstream mUpstream;
     private final double mWorkMillis;
-    private final double mOrdinaryMillis;
+    private final double mNominalMillis;
     private final long mAssignedNanos;
     private final Incarnation mIncarnation;
     private final Peer mPeer;
     private boolean mPending = true;
 
-    Assignment(Upstream upstream, double workMillis, double ordinaryMillis, long assignedNanos) {
+    Assignment(Upstream upstream, double workMillis, double nominalMillis, long assignedNanos) {
         mUpstream = upstream;
         mWorkMillis = workMillis;
-        mOrdinaryMillis = ordinaryMillis;
+        mNominalMillis = nominalMillis;
         mAssignedNanos = assignedNanos;
         mIncarnation = upstream.incarnation();
         HostPort address = HostPort.parse(upstream.registration().address());
@@ -67,11 +67,11 @@
     }
 
     /**
-     * Returns the time in which an upstream of ordinary speed would have finished the work,
+     * Returns the time in which an upstream of nominal speed would have finished the work,
      * including its backlog.
      */
-    double ordinaryMillis() {
-        return mOrdinaryMillis;
+    double nominalMillis() {
+        return mNominalMillis;
     }
 
     long assignedNanos() {
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/AttemptRunner.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/AttemptRunner.java
@@ -178,10 +178,10 @@
         try (CallCancel cancel = new CallCancel(mCancel, assignment);
                 HttpCall call = open(assignment, head, cancel.signal())) {
             mProgress.startWaiting(Activity.RESPONSE, assignment.id());
-            Duration silenceLimit =
-                    AttemptRule.silenceLimit(
-                            history, mRoute.attemptLimits(), mRoute.target(), timeLeft());
-            ClientResponse response = call.awaitResponse(silenceLimit);
+            Duration responseTimeout =
+                    AttemptRule.responseTimeout(
+                            history, mRoute.attemptLimits(), mRoute.targetLatency(), timeLeft());
+            ClientResponse response = call.awaitResponse(responseTimeout);
             mHasResponse = true;
             call.limitIdle(mContext.protocol().idleTimeout(response));
             mProgress.startWaiting(Activity.BODY, assignment.id());
@@ -284,7 +284,7 @@
             return AttemptOutcome.MAY_HAVE_RUN;
         }
         recordFirstResponse();
-        mCaller.whole(status, headers, body);
+        mCaller.sendComplete(status, headers, body);
         return AttemptOutcome.ENDED;
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/CallerResponse.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/CallerResponse.java
@@ -23,7 +23,7 @@
      * @throws TimeoutException if the caller reads too slowly
      * @throws InterruptedException if the thread is interrupted
      */
-    void whole(int status, HeaderMap headers, byte[] body)
+    void sendComplete(int status, HeaderMap headers, byte[] body)
             throws IOException, TimeoutException, InterruptedException;
 
     /**
@@ -32,7 +32,7 @@
      * @param status the HTTP status
      * @param headers the header fields
      */
-    void begin(int status, HeaderMap headers);
+    void beginStream(int status, HeaderMap headers);
 
     /**
      * Sends a part of a streamed response.
@@ -42,7 +42,7 @@
      * @throws TimeoutException if the caller reads too slowly
      * @throws InterruptedException if the thread is interrupted
      */
-    void part(byte[] part) throws IOException, TimeoutException, InterruptedException;
+    void sendPart(byte[] part) throws IOException, TimeoutException, InterruptedException;
 
     /**
      * Ends a streamed response.
@@ -51,10 +51,10 @@
      * @throws TimeoutException if the caller reads too slowly
      * @throws InterruptedException if the thread is interrupted
      */
-    void end() throws IOException, TimeoutException, InterruptedException;
+    void endStream() throws IOException, TimeoutException, InterruptedException;
 
     /** Aborts a response that has begun, so that the caller can tell that it is incomplete. */
-    void cut();
+    void abort();
 
     /**
      * Sends an error response to a request that no upstream has answered.
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/EndClassifier.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/EndClassifier.java
@@ -93,10 +93,10 @@
             return RequestEnd.LATE_CAME_BACK;
         }
         Duration first = facts.first().orElse(Duration.ZERO);
-        if (first.compareTo(facts.route().target()) > 0) {
+        if (first.compareTo(facts.route().targetLatency()) > 0) {
             return late(first, facts.progress());
         }
-        Duration maxPause = facts.route().longestPause();
+        Duration maxPause = facts.route().maxEventGap();
         boolean paused = maxPause.isPositive() && facts.longestPause().compareTo(maxPause) > 0;
         return paused ? RequestEnd.LATE_BY_PAUSE : RequestEnd.IN_TIME;
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/EnginePlacer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/EnginePlacer.java
@@ -93,7 +93,7 @@
         mNewRequestWait = newRequestWait();
         mMaxWait =
                 isClientRetry
-                        ? MemoryWaitRule.forClientRetry(request.route().target())
+                        ? MemoryWaitRule.forClientRetry(request.route().targetLatency())
                         : mNewRequestWait;
         mTracker = new SequenceTracker(context, service);
         mPrefiller =
@@ -118,7 +118,7 @@
     }
 
     private Duration newRequestWait() {
-        Duration target = mRequest.route().target();
+        Duration target = mRequest.route().targetLatency();
         int tokens = mOutput.promptTokens() + mOutput.expectedTokens();
         return MemoryWaitRule.forNewRequest(mContext.outputLengths().relativeSize(tokens), target);
     }
@@ -195,7 +195,7 @@
 
     private boolean canEverFit() {
         return mService.engine()
-                .map(engine -> MemoryRule.canEverFit(initialForecast(), engine.memoryTokens()))
+                .map(engine -> MemoryRule.canEverFit(initialForecast(), engine.kvCacheTokens()))
                 .orElse(true);
     }
 
@@ -313,7 +313,7 @@
                                 mContext.loads()
                                         .saturatedEngines(
                                                 mOutput,
-                                                availableTokens(engine.memoryTokens()),
+                                                availableTokens(engine.kvCacheTokens()),
                                                 engineSpeed()))
                 .orElseGet(Set::of);
     }
@@ -327,7 +327,7 @@
                 engineSpeed().decodeEngineMillis(mPrompt.tokens()),
                 memoryShare(upstreamId),
                 mContext.loads().prefillBacklogTokens(upstreamId),
-                mRequest.route().longestPause().toMillis());
+                mRequest.route().maxEventGap().toMillis());
     }
 
     /**
@@ -338,18 +338,19 @@
         if (mService.engine().isEmpty()) {
             return true;
         }
-        long memoryTokens = availableTokens(mService.engine().get().memoryTokens());
-        long roomyTokens = MemoryRule.roomyTokens(memoryTokens);
+        long memoryTokens = availableTokens(mService.engine().get().kvCacheTokens());
+        long uncheckedTokens = MemoryRule.uncheckedTokens(memoryTokens);
         String engine = placement.assignment().id();
         if (!mContext.loads()
-                .saturatedEngines(mOutput, roomyTokens, engineSpeed())
+                .saturatedEngines(mOutput, uncheckedTokens, engineSpeed())
                 .contains(engine)) {
             return true;
         }
         mProgress.startWaiting(Activity.PLACEMENT, engine);
         return !mCancel.await(ANNOUNCEMENT_DELAY)
                 && mContext.loads()
-                        .keepsPlace(placement.output().orElseThrow(), memoryTokens, engineSpeed());
+                        .keepsPlacement(
+                                placement.output().orElseThrow(), memoryTokens, engineSpeed());
     }
 
     private int reservedTokens() {
@@ -365,7 +366,7 @@
                 mService.name(),
                 Stage.DECODE,
                 requestMillis(),
-                UpstreamCost.OTHER_ZONE_ENGINE_MILLIS,
+                UpstreamCost.CROSS_ZONE_ENGINE_MILLIS,
                 mayTakeTried,
                 excluded,
                 mContext.maxAssignments(mService),
@@ -392,7 +393,7 @@
     }
 
     private double memoryShare(String upstreamId) {
-        double memoryTokens = mService.engine().map(Service.Engine::memoryTokens).orElse(0L);
+        double memoryTokens = mService.engine().map(Service.Engine::kvCacheTokens).orElse(0L);
         double usedTokens = mContext.loads().usedMemoryTokens(upstreamId, engineSpeed());
         return memoryTokens > 0 ? usedTokens / memoryTokens : 0;
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/MemoryReservations.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/MemoryReservations.java
@@ -59,8 +59,8 @@
             return Optional.empty();
         }
         UpstreamProtocol protocol = mContext.protocol();
-        HttpHead head = protocol.reserve(assignment.id());
-        byte[] body = protocol.reservation(tokens, RESERVATION_TTL);
+        HttpHead head = protocol.reservationHead(assignment.id());
+        byte[] body = protocol.reservationBody(tokens, RESERVATION_TTL);
         mProgress.startWaiting(Activity.RESERVATION, assignment.id());
         long sentNanos = mContext.clock().nanoTime();
         try (HttpCall call =
@@ -76,7 +76,7 @@
                         mRequestId, tokens, assignment.id(), response.getResponseCode());
                 return Optional.empty();
             }
-            return Optional.of(protocol.reserved(responseBody));
+            return Optional.of(protocol.parseReservation(responseBody));
         } catch (CallFailedException e) {
             mContext.callFailed(assignment, e.failure(), mCancel);
         } catch (IOException e) {
@@ -102,6 +102,6 @@
                         name ->
                                 mContext.release(
                                         placement.assignment(),
-                                        mContext.protocol().unreserve(name)));
+                                        mContext.protocol().releaseHead(name)));
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Prefiller.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Prefiller.java
@@ -105,7 +105,7 @@
 
     /** Returns the time left until the target; the whole target once it has passed. */
     private double targetLeftMillis() {
-        Duration target = mRequest.route().target();
+        Duration target = mRequest.route().targetLatency();
         double leftMillis =
                 target.toMillis() - Millis.ofNanos(mContext.clock().nanoTime() - mArrivedNanos);
         return leftMillis > 0 ? leftMillis : target.toMillis();
@@ -116,7 +116,7 @@
                 mService.name(),
                 Stage.PREFILL,
                 engineSpeed().prefillEngineMillis(mPrompt.tokens()),
-                UpstreamCost.OTHER_ZONE_ENGINE_MILLIS,
+                UpstreamCost.CROSS_ZONE_ENGINE_MILLIS,
                 false,
                 mContext.upstreamLimits().excludedUpstreams(),
                 mContext.maxAssignments(mService),
@@ -221,7 +221,7 @@
                                         mRequest.body(),
                                         timeLeft(),
                                         cancel.signal())) {
-            ClientResponse response = call.awaitResponse(silenceLimit(assignment));
+            ClientResponse response = call.awaitResponse(responseTimeout(assignment));
             call.limitIdle(protocol.idleTimeout(response));
             mContext.responded(assignment, response, sentNanos);
             return onResponseHead(assignment, call, response);
@@ -250,16 +250,16 @@
         }
         mContext.upstreams().responseReceived(assignment);
         String address = assignment.peer().host() + ":" + assignment.peer().port();
-        return Optional.of(new KvCacheRef(address, mContext.protocol().handle(body)));
+        return Optional.of(new KvCacheRef(address, mContext.protocol().parsePrefill(body)));
     }
 
     private Duration timeLeft() {
         return mRequest.timeLeft(mContext.clock().nanoTime());
     }
 
-    private Duration silenceLimit(Assignment assignment) {
-        return PrefillTimeoutRule.silenceLimit(
-                assignment.ordinaryMillis(), mRequest.route().target(), timeLeft());
+    private Duration responseTimeout(Assignment assignment) {
+        return PrefillTimeoutRule.responseTimeout(
+                assignment.nominalMillis(), mRequest.route().targetLatency(), timeLeft());
     }
 
     /** Returns the tokens that prefill engines have prefilled for the request. */
@@ -274,7 +274,7 @@
                 cache ->
                         mContext.release(
                                 mPrefillAssignment.orElseThrow(),
-                                mContext.protocol().freeHandle(cache.handle())));
+                                mContext.protocol().freeCacheHead(cache.handle())));
         mUnusedCache = Optional.empty();
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RelayContext.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RelayContext.java
@@ -140,7 +140,7 @@
     Optional<SendPermit> acquirePermit(Assignment assignment, RelayRequest request)
             throws InterruptedException {
         SendPermit permit =
-                upstreamLimits.acquire(assignment.incarnation(), request.route().target());
+                upstreamLimits.acquire(assignment.incarnation(), request.route().targetLatency());
         if (permit.isGranted()) {
             return Optional.of(permit);
         }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RelayRequest.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RelayRequest.java
@@ -46,10 +46,10 @@
      *     none
      * @param expectedOutputTokens the length of the output in tokens that the caller expects; 0 if
      *     it states none
-     * @param afterEvent the id of the last event that the caller has received; 0 for none
+     * @param lastEventId the id of the last event that the caller has received; 0 for none
      */
     public record Prompt(
-            int tokens, int maxOutputTokens, int expectedOutputTokens, long afterEvent) {}
+            int tokens, int maxOutputTokens, int expectedOutputTokens, long lastEventId) {}
 
     /**
      * Returns the time left until the request must be answered.
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RequestRelay.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RequestRelay.java
@@ -212,7 +212,7 @@
                 mService.name(),
                 Stage.NONE,
                 UpstreamCost.PLAIN_REQUEST_MILLIS,
-                UpstreamCost.OTHER_ZONE_PLAIN_MILLIS,
+                UpstreamCost.CROSS_ZONE_PLAIN_MILLIS,
                 !mLastRefused,
                 throttled,
                 mContext.maxAssignments(mService),
@@ -282,12 +282,12 @@
             LOG.info(
                     "%s: stream aborted after event %d: %s",
                     mRequest.id(), lastEventId, mAttempts.lastFailure());
-            mCaller.cut();
+            mCaller.abort();
             return End.CUT;
         }
         if (mAttempts.fallback().isPresent()) {
             FallbackResponse fallback = mAttempts.fallback().get();
-            mCaller.whole(fallback.status(), fallback.headers(), fallback.body());
+            mCaller.sendComplete(fallback.status(), fallback.headers(), fallback.body());
             return End.UPSTREAM_ERROR;
         }
         if (mCrashReporter.isQuarantined()) {
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/SequenceTracker.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/SequenceTracker.java
@@ -32,7 +32,7 @@
     SequenceTracker(RelayContext context, Service service) {
         mContext = context;
         mSpeedEstimator = context.speedEstimator(service.name());
-        mEventTokens = service.engine().map(Service.Engine::eventTokens).orElse(1);
+        mEventTokens = service.engine().map(Service.Engine::tokensPerEvent).orElse(1);
     }
 
     /** Announces that an engine begins to work on a sequence; returns the sequence as announced. */
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/StreamForward.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/StreamForward.java
@@ -50,7 +50,7 @@
             }
             mLastEventId = Math.max(mLastEventId, event.id());
             start();
-            mCaller.part(event.bytes());
+            mCaller.sendPart(event.bytes());
         }
         if (mFramer.isOversized()) {
             throw new IOException("an event of the upstream exceeds the size limit of 1 MiB");
@@ -60,13 +60,13 @@
     private void start() {
         if (!mStarted) {
             mStarted = true;
-            mCaller.begin(mStatus, mHeaders);
+            mCaller.beginStream(mStatus, mHeaders);
         }
     }
 
     void end() throws IOException, TimeoutException, InterruptedException {
         start();
-        mCaller.end();
+        mCaller.endStream();
     }
 
     boolean isStarted() {
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Upstream.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Upstream.java
@@ -90,13 +90,11 @@
         return mAssignments;
     }
 
-    /**
-     * Returns the time in which work would be finished at ordinary speed, including the backlog.
-     */
-    double ordinaryMillis(double workMillis, UpstreamDirectory.Backlog backlog) {
+    /** Returns the time in which work would be finished at nominal speed, including the backlog. */
+    double nominalMillis(double workMillis, UpstreamDirectory.Backlog backlog) {
         boolean isSerial = mRegistration.stage() != Registration.Stage.NONE;
         double backlogMillis = backlog.millis(mRegistration.id(), mPendingMillis);
-        return UpstreamCost.ordinaryMillis(
+        return UpstreamCost.nominalMillis(
                 workMillis, backlogMillis, mRegistration.slots(), isSerial);
     }
 
@@ -106,8 +104,8 @@
             UpstreamDirectory.Backlog backlog,
             double unobservedSlowness,
             long nowNanos) {
-        double ordinaryMillis = ordinaryMillis(workMillis, backlog);
-        return mHealth.expectedMillis(ordinaryMillis, unobservedSlowness, nowNanos);
+        double nominalMillis = nominalMillis(workMillis, backlog);
+        return mHealth.expectedMillis(nominalMillis, unobservedSlowness, nowNanos);
     }
 
     Slowness slowness() {
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamDirectory.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamDirectory.java
@@ -50,7 +50,7 @@
     /**
      * Lower bound of the expected time in a ratio of speeds; shorter times say little about speed.
      */
-    private static final double MIN_ORDINARY_MILLIS = 1;
+    private static final double MIN_NOMINAL_MILLIS = 1;
 
     private final OrderedLock mLock = new OrderedLock(LockRank.BOARD);
     private final UpstreamIndex mUpstreams = new UpstreamIndex();
@@ -209,9 +209,9 @@
             if (best == null) {
                 return Optional.empty();
             }
-            double ordinaryMillis = best.ordinaryMillis(need.workMillis(), need.backlog());
+            double nominalMillis = best.nominalMillis(need.workMillis(), need.backlog());
             best.beginWork(need.workMillis());
-            return Optional.of(new Assignment(best, need.workMillis(), ordinaryMillis, nowNanos));
+            return Optional.of(new Assignment(best, need.workMillis(), nominalMillis, nowNanos));
         }
     }
 
@@ -292,12 +292,12 @@
     }
 
     /**
-     * Returns the slowness of upstreams without recent observations. For engines it is ordinary,
+     * Returns the slowness of upstreams without recent observations. For engines it is nominal,
      * because the time that an engine needs is already estimated from all engines of its service.
      */
     private double unobservedSlowness(String service, Stage stage, long nowNanos) {
         if (stage != Stage.NONE) {
-            return Slowness.ORDINARY;
+            return Slowness.NOMINAL;
         }
         return Slowness.unobserved(
                 mUpstreams.ofService(service).stream()
@@ -314,7 +314,7 @@
                 upstream.expectedMillis(
                         need.workMillis(), need.backlog(), unobservedSlowness, nowNanos),
                 need.workMillis(),
-                sameZone ? 0 : need.otherZoneMillis(),
+                sameZone ? 0 : need.crossZoneMillis(),
                 draw);
     }
 
@@ -366,11 +366,11 @@
     private UpstreamHealth afterResponse(
             UpstreamHealth health, Assignment assignment, long nowNanos) {
         double tookMillis = Millis.ofNanos(nowNanos - assignment.assignedNanos());
-        double ordinaryMillis = Math.max(MIN_ORDINARY_MILLIS, assignment.ordinaryMillis());
+        double nominalMillis = Math.max(MIN_NOMINAL_MILLIS, assignment.nominalMillis());
         Registration upstream = assignment.upstream().registration();
         double unobservedSlowness =
                 unobservedSlowness(upstream.service(), upstream.stage(), nowNanos);
-        return health.afterAnswer(tookMillis / ordinaryMillis, unobservedSlowness, nowNanos);
+        return health.afterResponse(tookMillis / nominalMillis, unobservedSlowness, nowNanos);
     }
 
     /** Records that an upstream has failed. */
@@ -390,7 +390,7 @@
 
     /** Records that an upstream has refused a request for which it had just reserved memory. */
     void refusedDespiteReservation(Assignment assignment) {
-        updateHealth(assignment, UpstreamHealth::afterRefusalDespiteRoom);
+        updateHealth(assignment, UpstreamHealth::afterRefusalDespiteReservation);
     }
 
     /**
@@ -446,7 +446,7 @@
      * @param service the service
      * @param stage the required stage
      * @param workMillis the expected work in milliseconds
-     * @param otherZoneMillis the extra cost of an upstream in another availability zone, in
+     * @param crossZoneMillis the extra cost of an upstream in another availability zone, in
      *     milliseconds
      * @param mayTakeTried whether an upstream that was tried may be chosen if there is no other
      * @param excluded the ids of upstreams that are never chosen
@@ -458,7 +458,7 @@
             String service,
             Stage stage,
             double workMillis,
-            double otherZoneMillis,
+            double crossZoneMillis,
             boolean mayTakeTried,
             Set<String> excluded,
             int maxAssignments,
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamProtocol.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamProtocol.java
@@ -77,7 +77,7 @@
      * @return the handle of the KV cache
      * @throws IOException if the response cannot be parsed
      */
-    String handle(byte[] body) throws IOException;
+    String parsePrefill(byte[] body) throws IOException;
 
     /**
      * Creates the body of the call that reserves memory and a place at an engine.
@@ -86,7 +86,7 @@
      * @param ttl the time for which the engine keeps the memory if it is not used
      * @return the body
      */
-    byte[] reservation(int tokens, Duration ttl);
+    byte[] reservationBody(int tokens, Duration ttl);
 
     /**
      * Creates the head of the call that reserves memory and a place at an engine.
@@ -94,7 +94,7 @@
      * @param upstreamId the id of the engine
      * @return the head
      */
-    HttpHead reserve(String upstreamId);
+    HttpHead reservationHead(String upstreamId);
 
     /**
      * Parses the response to a reservation.
@@ -103,7 +103,7 @@
      * @return the id of the reservation
      * @throws IOException if the response cannot be parsed
      */
-    String reserved(byte[] body) throws IOException;
+    String parseReservation(byte[] body) throws IOException;
 
     /**
      * Creates the head of the call that releases a reservation.
@@ -111,7 +111,7 @@
      * @param reservation the id of the reservation
      * @return the head
      */
-    HttpHead unreserve(String reservation);
+    HttpHead releaseHead(String reservation);
 
     /**
      * Creates the head of the call that frees a KV cache.
@@ -119,7 +119,7 @@
      * @param handle the handle of the KV cache
      * @return the head
      */
-    HttpHead freeHandle(String handle);
+    HttpHead freeCacheHead(String handle);
 
     /**
      * Returns how long a connection may be idle and still be reused.
--- a/org.orchidmount/src/main/java/org/orchidmount/routes/Route.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routes/Route.java
@@ -19,8 +19,8 @@
  * @param resumable whether an interrupted stream may be resumed on another upstream
  * @param isPublic whether requests are served without the key of a client account
  * @param timeout maximum time that a request is kept open
- * @param target target latency of a response
- * @param longestPause longest gap between the events of a stream that counts as harmless
+ * @param targetLatency target latency of a response
+ * @param maxEventGap longest gap between the events of a stream that counts as harmless
  * @param priority priority, 0 being the most urgent
  * @param maxAttempts maximum number of upstreams that one request is sent to
  * @param destinations services that receive the requests, with their weights
@@ -33,8 +33,8 @@
         boolean resumable,
         boolean isPublic,
         Duration timeout,
-        Duration target,
-        Duration longestPause,
+        Duration targetLatency,
+        Duration maxEventGap,
         int priority,
         int maxAttempts,
         List<Destination> destinations) {
--- a/org.orchidmount/src/main/java/org/orchidmount/routes/Service.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routes/Service.java
@@ -25,8 +25,8 @@
     /**
      * Properties that all engines of a service share.
      *
-     * @param memoryTokens number of tokens that fit into the KV cache of one engine
-     * @param eventTokens number of tokens in one event of a stream
+     * @param kvCacheTokens number of tokens that fit into the KV cache of one engine
+     * @param tokensPerEvent number of tokens in one event of a stream
      */
-    public record Engine(long memoryTokens, int eventTokens) {}
+    public record Engine(long kvCacheTokens, int tokensPerEvent) {}
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/AttemptRule.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/AttemptRule.java
@@ -95,7 +95,7 @@
      * @param remaining time until the deadline of the request
      * @return {@code remaining}, or less if the request may then be tried elsewhere
      */
-    public static Duration silenceLimit(
+    public static Duration responseTimeout(
             History history, Limits limits, Duration target, Duration remaining) {
         boolean mayRetry =
                 limits.isIdempotent() && history.executions() + 1 < limits.maxExecutions();
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/JointPolicy.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/JointPolicy.java
@@ -30,7 +30,7 @@
     private static final double OCCUPANCY_MILLIS = 200;
 
     /** Cost of another availability zone, in milliseconds. */
-    private static final double OTHER_ZONE_MILLIS = 2;
+    private static final double CROSS_ZONE_MILLIS = 2;
 
     /**
      * Costs that differ by no more than this count as equal; one of them is then chosen at random.
@@ -117,7 +117,7 @@
     }
 
     private static double zoneMillis(DecisionInput input, UpstreamView upstream) {
-        return upstream.zone().equals(input.zone()) ? 0 : OTHER_ZONE_MILLIS;
+        return upstream.zone().equals(input.zone()) ? 0 : CROSS_ZONE_MILLIS;
     }
 
     private static Scored best(List<Candidate> candidates, Cost cost, RandomGenerator random) {
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/MemoryRule.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/MemoryRule.java
@@ -35,7 +35,7 @@
      * Percent of the memory below which a placement is not checked again, because concurrent
      * placements do no harm there.
      */
-    private static final int ROOMY_PERCENT = 50;
+    private static final int UNCHECKED_PERCENT = 50;
 
     /**
      * Window within which placements count as concurrent: longer than an announcement takes to
@@ -92,8 +92,8 @@
      * @param memoryTokens KV cache memory of the engine, in tokens
      * @return tokens
      */
-    public static long roomyTokens(long memoryTokens) {
-        return memoryTokens * ROOMY_PERCENT / 100;
+    public static long uncheckedTokens(long memoryTokens) {
+        return memoryTokens * UNCHECKED_PERCENT / 100;
     }
 
     /**
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/PrefillTimeoutRule.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/PrefillTimeoutRule.java
@@ -32,7 +32,8 @@
      * @param remaining time until the deadline of the request
      * @return the timeout, at most {@code remaining}
      */
-    public static Duration silenceLimit(double nominalMillis, Duration target, Duration remaining) {
+    public static Duration responseTimeout(
+            double nominalMillis, Duration target, Duration remaining) {
         long nanos = (long) Millis.toNanos(TIMEOUT_FACTOR * nominalMillis);
         long marginNanos = (long) (MARGIN_SHARE * target.toNanos());
         Duration timeout = Duration.ofNanos(nanos + marginNanos);
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/RefusalBackoff.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/RefusalBackoff.java
@@ -53,7 +53,7 @@
      * @param nowNanos current monotonic time
      * @return the updated state
      */
-    public RefusalBackoff afterRefusalDespiteRoom(long nowNanos) {
+    public RefusalBackoff afterRefusalDespiteReservation(long nowNanos) {
         boolean isFirst = consecutiveRefusals < ASSUMED_REFUSALS;
         return isFirst
                 ? new RefusalBackoff(ASSUMED_REFUSALS, false, untilNanos).afterRefusal(nowNanos)
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/Slowness.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/Slowness.java
@@ -21,7 +21,7 @@
     public static final Slowness NONE = new Slowness(1, 0);
 
     /** Factor of an upstream of nominal speed. */
-    public static final double ORDINARY = 1;
+    public static final double NOMINAL = 1;
 
     /** Smoothing factor: the weight of one answer. */
     private static final double SMOOTHING = 0.3;
@@ -41,7 +41,7 @@
     private static final double MAX_RATIO = 10;
 
     /** Records an answer by the ratio of its actual to its expected time. */
-    Slowness afterAnswer(double ratio, double unobserved, long nowNanos) {
+    Slowness afterResponse(double ratio, double unobserved, long nowNanos) {
         double bounded = Math.clamp(ratio, MIN_RATIO, MAX_RATIO);
         double before = at(nowNanos, unobserved);
         return new Slowness(before + SMOOTHING * (bounded - before), nowNanos);
@@ -72,7 +72,6 @@
      * @return the factor, at most 1
      */
     public static double unobserved(Stream<Slowness> others, long nowNanos) {
-        return others.mapToDouble(other -> other.at(nowNanos, ORDINARY))
-                .reduce(ORDINARY, Math::min);
+        return others.mapToDouble(other -> other.at(nowNanos, NOMINAL)).reduce(NOMINAL, Math::min);
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/UpstreamCost.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/UpstreamCost.java
@@ -23,13 +23,13 @@
     public static final double PLAIN_REQUEST_MILLIS = 70;
 
     /** Cost of another availability zone for a plain request, in milliseconds. */
-    public static final double OTHER_ZONE_PLAIN_MILLIS = 15;
+    public static final double CROSS_ZONE_PLAIN_MILLIS = 15;
 
     /**
      * Cost of another availability zone for an engine, in milliseconds; a KV cache is transferred
      * between engines.
      */
-    public static final double OTHER_ZONE_ENGINE_MILLIS = 30;
+    public static final double CROSS_ZONE_ENGINE_MILLIS = 30;
 
     /** Additional cost of a request on an engine with full memory, as a multiple of its work. */
     private static final double FULL_MEMORY_FACTOR = 1.25;
@@ -45,7 +45,7 @@
      * @param isSerial true for engines, which process one prompt after the other
      * @return milliseconds from now
      */
-    public static double ordinaryMillis(
+    public static double nominalMillis(
             double workMillis, double backlogMillis, int slots, boolean isSerial) {
         double waitMillis = isSerial ? backlogMillis : backlogMillis / Math.max(1, slots);
         return waitMillis + workMillis;
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/UpstreamHealth.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/UpstreamHealth.java
@@ -47,8 +47,8 @@
      * @param nowNanos current monotonic time
      * @return the updated state
      */
-    public UpstreamHealth afterAnswer(double ratio, double unobserved, long nowNanos) {
-        Slowness next = slowness.afterAnswer(ratio, unobserved, nowNanos);
+    public UpstreamHealth afterResponse(double ratio, double unobserved, long nowNanos) {
+        Slowness next = slowness.afterResponse(ratio, unobserved, nowNanos);
         return new UpstreamHealth(next, failures, backoff, refusals);
     }
 
@@ -103,9 +103,9 @@
      * @param nowNanos current monotonic time
      * @return the updated state
      */
-    public UpstreamHealth afterRefusalDespiteRoom(long nowNanos) {
+    public UpstreamHealth afterRefusalDespiteReservation(long nowNanos) {
         return new UpstreamHealth(
-                slowness, failures, backoff, refusals.afterRefusalDespiteRoom(nowNanos));
+                slowness, failures, backoff, refusals.afterRefusalDespiteReservation(nowNanos));
     }
 
     /**
