--- a/org.orchidmount/src/main/java/org/orchidmount/limits/AccountLimits.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/limits/AccountLimits.java
@@ -31,7 +31,7 @@
     private final QuotaTolerance mTolerance;
 
     /**
-     * Result of taking units from a limit. Immutable.
+     * Result of acquiring units from a limit. Immutable.
      *
      * @param request the units requested; empty if the account has no limit
      * @param answer whether the request may run
@@ -50,7 +50,7 @@
     }
 
     /**
-     * Takes the units of a request from the limit of its account.
+     * Acquires the units of a request from the limit of its account.
      *
      * @param account the request's account
      * @param tableVersion version of the table that defines the limit
--- a/org.orchidmount/src/main/java/org/orchidmount/limits/LocalLimits.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/limits/LocalLimits.java
@@ -28,8 +28,8 @@
     private final Map<String, Bucket> mBuckets = new HashMap<>();
 
     /**
-     * Takes one request from an account's rate limit at this instance (token bucket). A burst of up
-     * to one second's worth of requests is allowed.
+     * Acquires one request from an account's rate limit at this instance (token bucket). A burst of
+     * up to one second's worth of requests is allowed.
      *
      * @param account the account
      * @param nowNanos current monotonic time
--- a/org.orchidmount/src/main/java/org/orchidmount/limits/RetryBudget.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/limits/RetryBudget.java
@@ -18,12 +18,12 @@
     void recordRequest();
 
     /**
-     * Takes one retry.
+     * Acquires one retry.
      *
      * @return false if the budget is exhausted
      */
     boolean tryAcquire();
 
-    /** Returns a retry that was taken but not made, because no upstream had capacity for it. */
+    /** Returns a retry that was acquired but not made, because no upstream had capacity for it. */
     void refund();
 }
