--- a/org.orchidmount/src/main/java/org/orchidmount/consensus/Replica.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/consensus/Replica.java
@@ -52,7 +52,7 @@
     private boolean mHasSeenLeader;
     private long mLeaderHeardNanos;
     private long mElectionAtNanos;
-    private long mStoodNanos;
+    private long mPreVoteNanos;
     private long mHeartbeatAtNanos;
     private long mWritingSinceNanos;
     private long mLeadingSinceNanos;
@@ -101,7 +101,7 @@
         mNowNanos = nowNanos;
         mStartNanos = nowNanos;
         mLeaderHeardNanos = nowNanos - timing.election().toNanos();
-        planElection();
+        resetElectionTimer();
         if (!isVoter()) {
             mElectionAtNanos = nowNanos;
         }
@@ -186,7 +186,7 @@
      * @return false if this replica is not the leader or may have been superseded
      */
     public boolean holdsQuorum() {
-        return mRole == Role.LEADER && heardVoters() >= state().quorum();
+        return mRole == Role.LEADER && liveVoters() >= state().quorum();
     }
 
     /**
@@ -199,7 +199,7 @@
         if (mRole == Role.LEADER) {
             tickLeader();
         } else if (mNowNanos - mElectionAtNanos >= 0) {
-            standForElection();
+            startElection();
         }
     }
 
@@ -207,8 +207,8 @@
         boolean diskStalled =
                 mSynced < mWrites && mNowNanos - mWritingSinceNanos > mTiming.diskStall().toNanos();
         boolean settled = mNowNanos - mLeadingSinceNanos > mTiming.election().toNanos();
-        if (diskStalled || (settled && heardVoters() < state().quorum())) {
-            follow(mState.term(), null);
+        if (diskStalled || (settled && liveVoters() < state().quorum())) {
+            becomeFollower(mState.term(), null);
             return;
         }
         reviseMembers();
@@ -217,24 +217,24 @@
         }
     }
 
-    private int heardVoters() {
+    private int liveVoters() {
         int answered = 0;
         for (Member member : state().members()) {
-            if (member.id().equals(mSelf.id()) || isHeard(member.id(), mTiming.election())) {
+            if (member.id().equals(mSelf.id()) || isLive(member.id(), mTiming.election())) {
                 answered++;
             }
         }
         return answered;
     }
 
-    private boolean isHeard(String id, Duration within) {
+    private boolean isLive(String id, Duration within) {
         PeerProgress peer = mPeers.get(id);
         return peer != null && mNowNanos - peer.mHeardNanos <= within.toNanos();
     }
 
     // ---- elections
 
-    private void planElection() {
+    private void resetElectionTimer() {
         if (isStarting()) {
             long shortest = mTiming.firstElection().toNanos();
             mElectionAtNanos = mNowNanos + shortest + mRandom.nextLong(2 * shortest);
@@ -255,8 +255,8 @@
         return !mHasSeenLeader && mNowNanos - mStartNanos < startingNanos;
     }
 
-    private void standForElection() {
-        planElection();
+    private void startElection() {
+        resetElectionTimer();
         mLeader = null;
         mRole = Role.FOLLOWER;
         mEffects.announce(new Hello(mState.term(), mSelf, mDurable));
@@ -264,10 +264,10 @@
             return;
         }
         mRole = Role.TRIAL;
-        mStoodNanos = mNowNanos;
+        mPreVoteNanos = mNowNanos;
         mVotes.clear();
         mVotes.add(mSelf.id());
-        askForVotes(mState.term() + 1, true);
+        requestVotes(mState.term() + 1, true);
         if (mVotes.size() >= state().quorum()) {
             becomeCandidate();
         }
@@ -277,7 +277,7 @@
         mRole = Role.CANDIDATE;
         mVotes.clear();
         long write = persist(mState.withVote(mState.term() + 1, mSelf.id()));
-        planElection();
+        resetElectionTimer();
         VoteRequest request = new VoteRequest(mState.term(), mSelf.id(), mState.entry(), false);
         for (Member member : others()) {
             defer(write, member, request);
@@ -287,7 +287,7 @@
         defer(write, mSelf, new VoteReply(mState.term(), mSelf.id(), true, false));
     }
 
-    private void askForVotes(long term, boolean trial) {
+    private void requestVotes(long term, boolean trial) {
         VoteRequest request = new VoteRequest(term, mSelf.id(), mState.entry(), trial);
         others().forEach(member -> mEffects.send(member, request));
     }
@@ -315,7 +315,7 @@
                 return;
             }
             persist(mState.withVote(message.term(), ""));
-            follow(message.term(), null);
+            becomeFollower(message.term(), null);
         }
         if (message instanceof Append append) {
             onAppend(append);
@@ -337,13 +337,13 @@
     private void onVoteRequest(VoteRequest request, Member sender) {
         boolean current = request.newest().reaches(mState.entry());
         if (request.trial()) {
-            answerTrial(request, current, sender);
+            onPreVoteRequest(request, current, sender);
             return;
         }
         boolean free = mState.votedFor().isEmpty() || mState.votedFor().equals(request.from());
         boolean granted = request.term() == mState.term() && current && free;
         if (granted) {
-            planElection();
+            resetElectionTimer();
             if (mState.votedFor().isEmpty()) {
                 persist(mState.withVote(mState.term(), request.from()));
             }
@@ -351,7 +351,7 @@
         defer(mWrites, sender, new VoteReply(mState.term(), mSelf.id(), granted, false));
     }
 
-    private void answerTrial(VoteRequest request, boolean current, Member sender) {
+    private void onPreVoteRequest(VoteRequest request, boolean current, Member sender) {
         boolean granted =
                 request.term() > mState.term()
                         && current
@@ -374,7 +374,7 @@
      */
     private boolean hasPrecedence(VoteRequest request) {
         boolean stands =
-                mRole == Role.TRIAL && mNowNanos - mStoodNanos < mTiming.election().toNanos();
+                mRole == Role.TRIAL && mNowNanos - mPreVoteNanos < mTiming.election().toNanos();
         boolean isNewer = !mState.entry().reaches(request.newest());
         return stands && !isNewer && mSelf.id().compareTo(request.from()) < 0;
     }
@@ -411,12 +411,12 @@
         append(state());
     }
 
-    private void follow(long term, Member leader) {
+    private void becomeFollower(long term, Member leader) {
         boolean led = mRole == Role.LEADER;
         mRole = Role.FOLLOWER;
         mLeader = leader;
         if (led) {
-            planElection();
+            resetElectionTimer();
             mCommitWaiters.fail();
             mReadWaiters.fail();
         }
@@ -519,8 +519,8 @@
         }
         mLeaderHeardNanos = mNowNanos;
         mHasSeenLeader = true;
-        planElection();
-        follow(append.term(), append.leader());
+        resetElectionTimer();
+        becomeFollower(append.term(), append.leader());
         if (append.state() != null && append.entry().compareTo(mState.entry()) > 0) {
             persist(mState.withEntry(append.entry(), append.state()));
         }
@@ -571,7 +571,7 @@
             // A replica with a higher term rejects this leader, so step down to force a new
             // election.
             persist(mState.withVote(hello.term(), ""));
-            follow(hello.term(), null);
+            becomeFollower(hello.term(), null);
             return;
         }
         sendAppend(peer);
@@ -631,11 +631,11 @@
         }
         boolean settled = mNowNanos - mLeadingSinceNanos > mTiming.memberGone().toNanos();
         int quorumWithout = (state().members().size() - 1) / 2 + 1;
-        boolean mayRemove = settled && heardVoters() >= quorumWithout;
+        boolean mayRemove = settled && liveVoters() >= quorumWithout;
         new VoterPlan(state(), mTargetVoters, mSelf)
                 .next(
                         mPeers.values().stream().filter(this::isWaiting).toList(),
-                        member -> mayRemove && !isHeard(member.id(), mTiming.memberGone()))
+                        member -> mayRemove && !isLive(member.id(), mTiming.memberGone()))
                 .ifPresent(members -> append(state().withMembers(members)));
     }
 
@@ -643,7 +643,7 @@
     private boolean isWaiting(PeerProgress peer) {
         return state().member(peer.mMember.id()).isEmpty()
                 && peer.mDurable.equals(mState.entry())
-                && isHeard(peer.mMember.id(), mTiming.election());
+                && isLive(peer.mMember.id(), mTiming.election());
     }
 
     // ---- disk
