--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/ClusterCodecTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/ClusterCodecTest.java
@@ -74,7 +74,7 @@
                 replication(new ReplicaMessage.Append(5, A, ENTRY, STATE, ENTRY, 8)),
                 replication(new ReplicaMessage.Append(5, A, ENTRY, null, ENTRY, 8)),
                 replication(new ReplicaMessage.AppendReply(5, "a/first", ENTRY, 8)),
-                replication(new ReplicaMessage.Hello(5, A, ENTRY)),
+                replication(new ReplicaMessage.Announce(5, A, ENTRY)),
                 new ClusterMessage.Registrations(3, List.of(engine("i-1"), startedEngine("i-2"))),
                 new ClusterMessage.InFlightSequences(
                         List.of(sequence(startedEngine("i-2").incarnation()))),
--- a/org.orchidmount.test/src/test/java/org/orchidmount/consensus/ReplicaTrialTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/consensus/ReplicaTrialTest.java
@@ -56,7 +56,7 @@
         assertThat(replica.role()).isEqualTo(role);
     }
 
-    /** Returns a voter of three that has just asked the others for trial votes. */
+    /** Returns a voter of three that has just asked the others for pre-votes. */
     private Replica standing() {
         List<Member> members =
                 List.of(
--- a/org.orchidmount.test/src/test/java/org/orchidmount/consensus/SimulatedGroup.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/consensus/SimulatedGroup.java
@@ -248,7 +248,7 @@
 
         @Override
         public void committed(EntryId entry, GroupState state) {
-            check(entry.reaches(mNewestCommitted), "a replica's committed state went back");
+            check(entry.isAtLeast(mNewestCommitted), "a replica's committed state went back");
             mNewestCommitted = entry;
             GroupState known = mCommitted.put(entry, state);
             check(known == null || known.equals(state), "two states are committed at " + entry);
--- a/org.orchidmount.test/src/test/java/org/orchidmount/consensus/VoterPlanTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/consensus/VoterPlanTest.java
@@ -18,19 +18,19 @@
 
     @Test
     void growsToItsTarget() {
-        assertThat(plan(3).next(List.of(waiting(9)), _ -> false).get())
+        assertThat(plan(3).next(List.of(learner(9)), _ -> false).get())
                 .contains(member(9, "waiting"));
     }
 
     @Test
     void staysAsItIsWithoutNeed() {
-        assertThat(plan(5).next(List.of(waiting(9)), _ -> false)).isEmpty();
+        assertThat(plan(5).next(List.of(learner(9)), _ -> false)).isEmpty();
         assertThat(plan(5).next(List.of(), _ -> true)).isEmpty();
     }
 
     @Test
     void replacesInOneStepOnlyWhoseDiskIsLost() {
-        List<Member> next = plan(5).next(List.of(waiting(2)), _ -> false).get();
+        List<Member> next = plan(5).next(List.of(learner(2)), _ -> false).get();
         assertThat(next).hasSize(5);
         assertThat(next).contains(member(2, "waiting"));
         assertThat(next).doesNotContain(member(2, "first"));
@@ -38,20 +38,20 @@
 
     @Test
     void addsTheSuccessorOfASilentVoterBeforeThatIsRemoved() {
-        Predicate<Member> silent = member -> member.equals(member(3, "first"));
-        List<Member> grown = plan(5).next(List.of(waiting(9)), silent).get();
+        Predicate<Member> unresponsive = member -> member.equals(member(3, "first"));
+        List<Member> grown = plan(5).next(List.of(learner(9)), unresponsive).get();
         assertThat(grown).hasSize(6);
         assertThat(grown).contains(member(9, "waiting"));
-        List<Member> next = plan(6).next(List.of(), silent).get();
+        List<Member> next = plan(6).next(List.of(), unresponsive).get();
         assertThat(next).hasSize(5);
         assertThat(next).doesNotContain(member(3, "first"));
         assertThat(plan(6).next(List.of(), _ -> false)).isEmpty();
-        assertThat(plan(5).next(List.of(), silent)).isEmpty();
+        assertThat(plan(5).next(List.of(), unresponsive)).isEmpty();
     }
 
     @Test
     void neverRemovesItself() {
-        assertThat(plan(5).next(List.of(waiting(9)), member -> member.equals(SELF))).isEmpty();
+        assertThat(plan(5).next(List.of(learner(9)), member -> member.equals(SELF))).isEmpty();
     }
 
     private static VoterPlan plan(int voters) {
@@ -65,7 +65,7 @@
         return new Member(address + "/" + name, address, address);
     }
 
-    private static PeerProgress waiting(int machine) {
+    private static PeerProgress learner(int machine) {
         PeerProgress peer = new PeerProgress();
         peer.mMember = member(machine, "waiting");
         return peer;
--- a/org.orchidmount.test/src/test/java/org/orchidmount/consensus/WaitersTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/consensus/WaitersTest.java
@@ -25,8 +25,8 @@
         add(2);
         add(1);
         add(3);
-        mWaiters.release(goal -> goal <= 2);
-        mWaiters.release(goal -> goal <= 2);
+        mWaiters.complete(goal -> goal <= 2);
+        mWaiters.complete(goal -> goal <= 2);
         mWaiters.fail();
         mWaiters.fail();
         assertThat(mAnswers).containsExactly("2 true", "1 true", "3 false").inOrder();
@@ -35,9 +35,9 @@
     @Test
     void oneMayWaitAgainFromWithinItsAnswer() {
         mWaiters.add(1, _ -> add(2));
-        mWaiters.release(goal -> goal == 1);
+        mWaiters.complete(goal -> goal == 1);
         assertThat(mAnswers).isEmpty();
-        mWaiters.release(goal -> goal == 2);
+        mWaiters.complete(goal -> goal == 2);
         assertThat(mAnswers).containsExactly("2 true");
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/ClusterCodec.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/ClusterCodec.java
@@ -40,9 +40,9 @@
 import org.orchidmount.consensus.GroupState;
 import org.orchidmount.consensus.Member;
 import org.orchidmount.consensus.ReplicaMessage;
+import org.orchidmount.consensus.ReplicaMessage.Announce;
 import org.orchidmount.consensus.ReplicaMessage.Append;
 import org.orchidmount.consensus.ReplicaMessage.AppendReply;
-import org.orchidmount.consensus.ReplicaMessage.Hello;
 import org.orchidmount.consensus.ReplicaMessage.VoteReply;
 import org.orchidmount.consensus.ReplicaMessage.VoteRequest;
 import org.orchidmount.load.InFlightSequence;
@@ -231,13 +231,13 @@
         } else if (message instanceof VoteRequest request) {
             writeHead(out, VOTE_REQUEST, replication);
             writeEntry(out, request.newest());
-            out.packBoolean(request.trial());
+            out.packBoolean(request.preVote());
         } else if (message instanceof VoteReply reply) {
             writeHead(out, VOTE_REPLY, replication);
-            out.packBoolean(reply.granted()).packBoolean(reply.trial());
-        } else if (message instanceof Hello hello) {
+            out.packBoolean(reply.granted()).packBoolean(reply.preVote());
+        } else if (message instanceof Announce announce) {
             writeHead(out, HELLO, replication);
-            writeEntry(out, hello.durable());
+            writeEntry(out, announce.durable());
         } else {
             throw new IllegalStateException("no frame for " + message.getClass());
         }
@@ -349,7 +349,7 @@
                     }
                     case APPEND_REPLY ->
                             new AppendReply(term, sender.id(), readEntry(in), in.unpackLong());
-                    case HELLO -> new Hello(term, sender, readEntry(in));
+                    case HELLO -> new Announce(term, sender, readEntry(in));
                     default -> throw new IOException("a frame of the unknown type " + type);
                 };
         return new Replication(sender, message);
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterNode.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterNode.java
@@ -91,7 +91,7 @@
     private ServiceGate mGate;
 
     private GroupState mCommitted = new GroupState(List.of(), 0, new byte[0]);
-    private boolean mWasInTouch;
+    private boolean mHadQuorumContact;
     private Replica.Role mWasRole = Replica.Role.FOLLOWER;
 
     /** A state to be written, and the number by which the replica knows the write. */
@@ -211,7 +211,7 @@
                         return;
                     }
                     Optional<Member> leader =
-                            mReplica.isInTouch() ? mReplica.leader() : Optional.empty();
+                            mReplica.hasQuorumContact() ? mReplica.leader() : Optional.empty();
                     answer.complete(
                             leader.map(Member::controlAddress)
                                     .<TableAnswer>map(TableAnswer.AskLeader::new)
@@ -341,7 +341,7 @@
                 () -> {
                     if (hasToWait(registration)) {
                         mGate.await(registration);
-                        done.complete(mReplica.isInTouch());
+                        done.complete(mReplica.hasQuorumContact());
                         return;
                     }
                     Optional<Registration> changed = hold(registration);
@@ -351,7 +351,7 @@
                         return;
                     }
                     changed.ifPresent(this::forward);
-                    done.complete(mReplica.isInTouch());
+                    done.complete(mReplica.hasQuorumContact());
                 });
         return done;
     }
@@ -410,7 +410,7 @@
     }
 
     private void replicateDeparture(Registration leaving, CompletableFuture<Boolean> done) {
-        if (!mReplica.isInTouch()) {
+        if (!mReplica.hasQuorumContact()) {
             forward(leaving);
             done.complete(false);
             return;
@@ -524,12 +524,12 @@
 
     /**
      * Tells an entry that was away of the departures of which no start is known. While this voter
-     * is in touch with a quorum, an upstream that has started again since is known to it, so that
+     * has contact with a quorum, an upstream that has started again since is known to it, so that
      * its departure is not among them.
      */
     private void repeatDepartures(Link entry) {
         List<Registration> departures = mRegistry.departuresWithoutStart();
-        if (mReplica.isInTouch() && !departures.isEmpty()) {
+        if (mReplica.hasQuorumContact() && !departures.isEmpty()) {
             entry.send(new Registrations(PendingDepartures.NONE, departures));
         }
     }
@@ -569,7 +569,8 @@
     }
 
     private TableNotice notice() {
-        return new TableNotice(mCommitted.tableVersion(), mReplica.isInTouch(), mLinks.entries());
+        return new TableNotice(
+                mCommitted.tableVersion(), mReplica.hasQuorumContact(), mLinks.entries());
     }
 
     // ---- time
@@ -579,9 +580,9 @@
         mQuota.tick(mClock.nanoTime());
         noteRole();
         orderStages();
-        if (mWasInTouch != mReplica.isInTouch()) {
-            mWasInTouch = mReplica.isInTouch();
-            LOG.info("quorum %s", mWasInTouch ? "regained" : "lost");
+        if (mHadQuorumContact != mReplica.hasQuorumContact()) {
+            mHadQuorumContact = mReplica.hasQuorumContact();
+            LOG.info("quorum %s", mHadQuorumContact ? "regained" : "lost");
             mLinks.sendToEntries(notice());
         }
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterQuota.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterQuota.java
@@ -74,7 +74,7 @@
 
     /** Returns the leader's cluster address; empty if none is known. */
     private String leaderAddress() {
-        return mReplica.isInTouch() ? mReplica.leader().map(Member::address).orElse("") : "";
+        return mReplica.hasQuorumContact() ? mReplica.leader().map(Member::address).orElse("") : "";
     }
 
     /** Takes back what was granted and not used. */
--- a/org.orchidmount/src/main/java/org/orchidmount/consensus/EntryId.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/consensus/EntryId.java
@@ -49,7 +49,7 @@
      * @param other the id to compare with
      * @return true if this id does not precede the other
      */
-    public boolean reaches(EntryId other) {
+    public boolean isAtLeast(EntryId other) {
         return compareTo(other) >= 0;
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/consensus/PeerProgress.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/consensus/PeerProgress.java
@@ -16,10 +16,10 @@
     EntryId mSent = EntryId.NONE;
 
     /** The newest heartbeat round that it has acknowledged. */
-    long mRound;
+    long mAckedRound;
 
     /** Monotonic time of its last reply. */
-    long mHeardNanos;
+    long mLastReplyNanos;
 
     /** Monotonic time at which a state was last sent to it. */
     long mSentNanos;
--- a/org.orchidmount/src/main/java/org/orchidmount/consensus/Replica.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/consensus/Replica.java
@@ -16,9 +16,9 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
+import org.orchidmount.consensus.ReplicaMessage.Announce;
 import org.orchidmount.consensus.ReplicaMessage.Append;
 import org.orchidmount.consensus.ReplicaMessage.AppendReply;
-import org.orchidmount.consensus.ReplicaMessage.Hello;
 import org.orchidmount.consensus.ReplicaMessage.VoteReply;
 import org.orchidmount.consensus.ReplicaMessage.VoteRequest;
 
@@ -121,7 +121,7 @@
      *
      * @return false if it may be partitioned from the group
      */
-    public boolean isInTouch() {
+    public boolean hasQuorumContact() {
         boolean follows = mRole == Role.FOLLOWER && mLeader != null && hasLiveLeader();
         return mRole == Role.LEADER ? holdsQuorum() : follows;
     }
@@ -211,7 +211,7 @@
             becomeFollower(mState.term(), null);
             return;
         }
-        reviseMembers();
+        updateMembers();
         if (mNowNanos - mHeartbeatAtNanos >= 0) {
             broadcast();
         }
@@ -229,7 +229,7 @@
 
     private boolean isLive(String id, Duration within) {
         PeerProgress peer = mPeers.get(id);
-        return peer != null && mNowNanos - peer.mHeardNanos <= within.toNanos();
+        return peer != null && mNowNanos - peer.mLastReplyNanos <= within.toNanos();
     }
 
     // ---- elections
@@ -259,7 +259,7 @@
         resetElectionTimer();
         mLeader = null;
         mRole = Role.FOLLOWER;
-        mEffects.announce(new Hello(mState.term(), mSelf, mDurable));
+        mEffects.announce(new Announce(mState.term(), mSelf, mDurable));
         if (!isVoter() || mSynced < mWrites) {
             return;
         }
@@ -287,8 +287,8 @@
         defer(write, mSelf, new VoteReply(mState.term(), mSelf.id(), true, false));
     }
 
-    private void requestVotes(long term, boolean trial) {
-        VoteRequest request = new VoteRequest(term, mSelf.id(), mState.entry(), trial);
+    private void requestVotes(long term, boolean preVote) {
+        VoteRequest request = new VoteRequest(term, mSelf.id(), mState.entry(), preVote);
         others().forEach(member -> mEffects.send(member, request));
     }
 
@@ -307,10 +307,10 @@
      */
     public void receive(ReplicaMessage message, Member sender, long nowNanos) {
         mNowNanos = nowNanos;
-        boolean trial =
-                message instanceof VoteRequest request && request.trial()
-                        || message instanceof VoteReply reply && reply.trial() && reply.granted();
-        if (message.term() > mState.term() && !trial && !(message instanceof Hello)) {
+        boolean preVote =
+                message instanceof VoteRequest request && request.preVote()
+                        || message instanceof VoteReply reply && reply.preVote() && reply.granted();
+        if (message.term() > mState.term() && !preVote && !(message instanceof Announce)) {
             if (message instanceof VoteRequest && hasLiveLeader()) {
                 return;
             }
@@ -325,8 +325,8 @@
             onVoteRequest(request, sender);
         } else if (message instanceof VoteReply reply) {
             onVoteReply(reply);
-        } else if (message instanceof Hello hello) {
-            onHello(hello);
+        } else if (message instanceof Announce announce) {
+            onAnnounce(announce);
         }
     }
 
@@ -335,8 +335,8 @@
     }
 
     private void onVoteRequest(VoteRequest request, Member sender) {
-        boolean current = request.newest().reaches(mState.entry());
-        if (request.trial()) {
+        boolean current = request.newest().isAtLeast(mState.entry());
+        if (request.preVote()) {
             onPreVoteRequest(request, current, sender);
             return;
         }
@@ -375,7 +375,7 @@
     private boolean hasPrecedence(VoteRequest request) {
         boolean stands =
                 mRole == Role.TRIAL && mNowNanos - mPreVoteNanos < mTiming.election().toNanos();
-        boolean isNewer = !mState.entry().reaches(request.newest());
+        boolean isNewer = !mState.entry().isAtLeast(request.newest());
         return stands && !isNewer && mSelf.id().compareTo(request.from()) < 0;
     }
 
@@ -384,7 +384,7 @@
             return;
         }
         boolean expected =
-                reply.trial()
+                reply.preVote()
                         ? mRole == Role.TRIAL && reply.term() == mState.term() + 1
                         : mRole == Role.CANDIDATE && reply.term() == mState.term();
         if (!expected || state().member(reply.from()).isEmpty()) {
@@ -394,7 +394,7 @@
         if (mVotes.size() < state().quorum()) {
             return;
         }
-        if (reply.trial()) {
+        if (reply.preVote()) {
             becomeCandidate();
         } else {
             becomeLeader();
@@ -459,7 +459,7 @@
                 confirmed -> {
                     if (!confirmed) {
                         done.accept(false);
-                    } else if (mCommitted.reaches(newest)) {
+                    } else if (mCommitted.isAtLeast(newest)) {
                         done.accept(true);
                     } else {
                         mCommitWaiters.add(newest, done);
@@ -482,12 +482,12 @@
             PeerProgress peer = mPeers.computeIfAbsent(member.id(), id -> new PeerProgress());
             peer.mMember = member;
         }
-        long forgetNanos = 4 * mTiming.memberGone().toNanos();
+        long forgetNanos = 4 * mTiming.memberTimeout().toNanos();
         mPeers.values()
                 .removeIf(
                         peer ->
                                 state().member(peer.mMember.id()).isEmpty()
-                                        && mNowNanos - peer.mHeardNanos > forgetNanos);
+                                        && mNowNanos - peer.mLastReplyNanos > forgetNanos);
         mPeers.values().forEach(this::sendAppend);
     }
 
@@ -526,7 +526,7 @@
         }
         // An uncommitted entry of another term may conflict with the committed one.
         boolean sameLeader = append.committed().term() == mState.entry().term();
-        if (sameLeader && append.committed().reaches(mState.entry())) {
+        if (sameLeader && append.committed().isAtLeast(mState.entry())) {
             markCommitted(mState.entry());
         }
         boolean holds = mState.entry().equals(append.entry());
@@ -549,9 +549,9 @@
         // A replica that lost its disk replies from the same address under a new identity.
         PeerProgress peer = mPeers.computeIfAbsent(reply.from(), id -> new PeerProgress());
         peer.mMember = sender;
-        peer.mHeardNanos = mNowNanos;
-        peer.mRound = Math.max(peer.mRound, reply.round());
-        if (reply.durable().reaches(peer.mDurable)) {
+        peer.mLastReplyNanos = mNowNanos;
+        peer.mAckedRound = Math.max(peer.mAckedRound, reply.round());
+        if (reply.durable().isAtLeast(peer.mDurable)) {
             peer.mDurable = reply.durable();
         }
         if (!peer.mDurable.equals(mState.entry()) && !peer.mSent.equals(mState.entry())) {
@@ -561,24 +561,24 @@
         confirmReads();
     }
 
-    private void onHello(Hello hello) {
+    private void onAnnounce(Announce announce) {
         if (mRole != Role.LEADER) {
             return;
         }
-        PeerProgress peer = mPeers.computeIfAbsent(hello.from(), id -> new PeerProgress());
-        peer.mMember = hello.member();
-        if (hello.term() > mState.term()) {
+        PeerProgress peer = mPeers.computeIfAbsent(announce.from(), id -> new PeerProgress());
+        peer.mMember = announce.member();
+        if (announce.term() > mState.term()) {
             // A replica with a higher term rejects this leader, so step down to force a new
             // election.
-            persist(mState.withVote(hello.term(), ""));
-            becomeFollower(hello.term(), null);
+            persist(mState.withVote(announce.term(), ""));
+            becomeFollower(announce.term(), null);
             return;
         }
         sendAppend(peer);
     }
 
     private void commit() {
-        if (mRole != Role.LEADER || mCommitted.reaches(mState.entry())) {
+        if (mRole != Role.LEADER || mCommitted.isAtLeast(mState.entry())) {
             return;
         }
         int holders = 0;
@@ -597,17 +597,17 @@
     }
 
     private void markCommitted(EntryId entry) {
-        if (mCommitted.reaches(entry)) {
+        if (mCommitted.isAtLeast(entry)) {
             return;
         }
         mCommitted = entry;
         mEffects.committed(entry, state());
-        mCommitWaiters.release(entry::reaches);
+        mCommitWaiters.complete(entry::isAtLeast);
     }
 
     private void confirmReads() {
         if (mRole == Role.LEADER) {
-            mReadWaiters.release(round -> votersAtRound(round) >= state().quorum());
+            mReadWaiters.complete(round -> votersAtRound(round) >= state().quorum());
         }
     }
 
@@ -615,7 +615,7 @@
         int voters = 0;
         for (Member member : state().members()) {
             PeerProgress peer = mPeers.get(member.id());
-            if (member.id().equals(mSelf.id()) || peer != null && peer.mRound >= round) {
+            if (member.id().equals(mSelf.id()) || peer != null && peer.mAckedRound >= round) {
                 voters++;
             }
         }
@@ -625,22 +625,22 @@
     // ---- voters
 
     /** Changes one voter at a time, and only while the newest entry is committed. */
-    private void reviseMembers() {
+    private void updateMembers() {
         if (!mCommitted.equals(mState.entry())) {
             return;
         }
-        boolean settled = mNowNanos - mLeadingSinceNanos > mTiming.memberGone().toNanos();
+        boolean settled = mNowNanos - mLeadingSinceNanos > mTiming.memberTimeout().toNanos();
         int quorumWithout = (state().members().size() - 1) / 2 + 1;
         boolean mayRemove = settled && liveVoters() >= quorumWithout;
         new VoterPlan(state(), mTargetVoters, mSelf)
                 .next(
-                        mPeers.values().stream().filter(this::isWaiting).toList(),
-                        member -> mayRemove && !isLive(member.id(), mTiming.memberGone()))
+                        mPeers.values().stream().filter(this::isPromotable).toList(),
+                        member -> mayRemove && !isLive(member.id(), mTiming.memberTimeout()))
                 .ifPresent(members -> append(state().withMembers(members)));
     }
 
     /** Returns whether a replica is a non-voter that is live and holds the newest entry durably. */
-    private boolean isWaiting(PeerProgress peer) {
+    private boolean isPromotable(PeerProgress peer) {
         return state().member(peer.mMember.id()).isEmpty()
                 && peer.mDurable.equals(mState.entry())
                 && isLive(peer.mMember.id(), mTiming.election());
@@ -688,7 +688,7 @@
         mNowNanos = nowNanos;
         mSynced = Math.max(mSynced, number);
         mWritingSinceNanos = nowNanos;
-        if (entry.reaches(mDurable)) {
+        if (entry.isAtLeast(mDurable)) {
             mDurable = entry;
         }
         while (!mDeferred.isEmpty() && mDeferred.peekFirst().write() <= mSynced) {
--- a/org.orchidmount/src/main/java/org/orchidmount/consensus/ReplicaMessage.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/consensus/ReplicaMessage.java
@@ -30,14 +30,14 @@
      * Requests a vote.
      *
      * @param newest the id of the newest entry that the sender holds
-     * @param trial true for a pre-vote: the receiver answers whether it would vote, but casts no
+     * @param preVote true for a pre-vote: the receiver answers whether it would vote, but casts no
      *     vote
      */
-    record VoteRequest(long term, String from, EntryId newest, boolean trial)
+    record VoteRequest(long term, String from, EntryId newest, boolean preVote)
             implements ReplicaMessage {}
 
     /** Replies to a {@link VoteRequest}. */
-    record VoteReply(long term, String from, boolean granted, boolean trial)
+    record VoteReply(long term, String from, boolean granted, boolean preVote)
             implements ReplicaMessage {}
 
     /**
@@ -79,7 +79,7 @@
      * @param member the sender
      * @param durable the id of the newest entry synced to its disk
      */
-    record Hello(long term, Member member, EntryId durable) implements ReplicaMessage {
+    record Announce(long term, Member member, EntryId durable) implements ReplicaMessage {
         @Override
         public String from() {
             return member.id();
--- a/org.orchidmount/src/main/java/org/orchidmount/consensus/Timing.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/consensus/Timing.java
@@ -14,14 +14,14 @@
  * @param election the minimum election time-out; the randomized time-out is less than twice that
  * @param firstElection the minimum election time-out after a start, while no leader has been seen;
  *     the randomized time-out is less than three times that
- * @param memberGone the time without a reply after which a voter may be replaced by a non-voter
+ * @param memberTimeout the time without a reply after which a voter may be replaced by a non-voter
  * @param diskStall the time for which a leader waits for a durable write before it steps down
  */
 public record Timing(
         Duration heartbeat,
         Duration election,
         Duration firstElection,
-        Duration memberGone,
+        Duration memberTimeout,
         Duration diskStall) {
     /**
      * Returns time-outs for networks with latencies of a few milliseconds.
--- a/org.orchidmount/src/main/java/org/orchidmount/consensus/VoterPlan.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/consensus/VoterPlan.java
@@ -32,32 +32,32 @@
     /**
      * Computes the next set of voters.
      *
-     * @param waiting live non-voters that hold the newest entry durably
-     * @param gone whether a voter is unresponsive and may be removed
+     * @param learners live non-voters that hold the newest entry durably
+     * @param unresponsive whether a voter is unresponsive and may be removed
      * @return the new voters, or empty if no change is due
      */
-    Optional<List<Member>> next(List<PeerProgress> waiting, Predicate<Member> gone) {
-        for (PeerProgress peer : waiting) {
-            Optional<Member> wiped = voterAt(peer.mMember.address());
-            if (wiped.isPresent()) {
-                return Optional.of(replaced(wiped.get(), peer.mMember));
+    Optional<List<Member>> next(List<PeerProgress> learners, Predicate<Member> unresponsive) {
+        for (PeerProgress peer : learners) {
+            Optional<Member> predecessor = voterAt(peer.mMember.address());
+            if (predecessor.isPresent()) {
+                return Optional.of(replaced(predecessor.get(), peer.mMember));
             }
         }
         List<Member> members = new ArrayList<>(mState.members());
-        Optional<Member> silent =
+        Optional<Member> unresponsiveVoter =
                 members.stream()
                         .filter(member -> !member.id().equals(mSelf.id()))
-                        .filter(gone)
+                        .filter(unresponsive)
                         .findFirst();
         if (members.size() > mTargetVoters) {
-            silent.ifPresent(members::remove);
-            return silent.map(_ -> members);
+            unresponsiveVoter.ifPresent(members::remove);
+            return unresponsiveVoter.map(_ -> members);
         }
-        boolean grow = members.size() < mTargetVoters || silent.isPresent();
-        if (!grow || waiting.isEmpty()) {
+        boolean grow = members.size() < mTargetVoters || unresponsiveVoter.isPresent();
+        if (!grow || learners.isEmpty()) {
             return Optional.empty();
         }
-        members.add(waiting.getFirst().mMember);
+        members.add(learners.getFirst().mMember);
         return Optional.of(members);
     }
 
@@ -67,9 +67,9 @@
                 .findFirst();
     }
 
-    private List<Member> replaced(Member old, Member successor) {
+    private List<Member> replaced(Member predecessor, Member successor) {
         return mState.members().stream()
-                .map(member -> member.equals(old) ? successor : member)
+                .map(member -> member.equals(predecessor) ? successor : member)
                 .toList();
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/consensus/Waiters.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/consensus/Waiters.java
@@ -34,7 +34,7 @@
     }
 
     /** Completes the callbacks whose goal is reached. */
-    void release(Predicate<T> isReached) {
+    void complete(Predicate<T> isReached) {
         List<Waiter<T>> reached = new ArrayList<>();
         mWaiters.removeIf(
                 waiter -> {
