--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterNode.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterNode.java
@@ -92,7 +92,7 @@
     private ServiceGate mGate;
 
     private GroupState mCommitted = new GroupState(List.of(), 0, new byte[0]);
-    private boolean mHadQuorum;
+    private boolean mHadQuorumContact;
     private Replica.Role mLastRole = Replica.Role.FOLLOWER;
 
     /** A state to be written, and the number that identifies the write to the replica. */
@@ -214,7 +214,7 @@
                         return;
                     }
                     Optional<Member> leader =
-                            mReplica.isInTouch() ? mReplica.leader() : Optional.empty();
+                            mReplica.hasQuorumContact() ? mReplica.leader() : Optional.empty();
                     answer.complete(
                             leader.map(Member::controlAddress)
                                     .<TableReply>map(TableReply.NotLeader::new)
@@ -345,7 +345,7 @@
                 () -> {
                     if (mustHoldBack(registration)) {
                         mGate.holdBack(registration);
-                        done.complete(mReplica.isInTouch());
+                        done.complete(mReplica.hasQuorumContact());
                         return;
                     }
                     Optional<Registration> changed = apply(registration);
@@ -355,7 +355,7 @@
                         return;
                     }
                     changed.ifPresent(this::forward);
-                    done.complete(mReplica.isInTouch());
+                    done.complete(mReplica.hasQuorumContact());
                 });
         return done;
     }
@@ -417,7 +417,7 @@
     }
 
     private void replicateDeparture(Registration leaving, CompletableFuture<Boolean> done) {
-        if (!mReplica.isInTouch()) {
+        if (!mReplica.hasQuorumContact()) {
             forward(leaving);
             done.complete(false);
             return;
@@ -536,7 +536,7 @@
      */
     private void resendDepartures(Link entry) {
         List<Registration> departures = mRegistry.departuresWithoutStartTime();
-        if (mReplica.isInTouch() && !departures.isEmpty()) {
+        if (mReplica.hasQuorumContact() && !departures.isEmpty()) {
             entry.send(new Registrations(PendingDepartures.UNTRACKED, departures));
         }
     }
@@ -576,7 +576,8 @@
     }
 
     private TableNotice notice() {
-        return new TableNotice(mCommitted.tableVersion(), mReplica.isInTouch(), mLinks.entries());
+        return new TableNotice(
+                mCommitted.tableVersion(), mReplica.hasQuorumContact(), mLinks.entries());
     }
 
     // ---- Periodic tasks
@@ -586,9 +587,9 @@
         mQuota.tick(mClock.nanoTime());
         logRoleChange();
         orderStages();
-        if (mHadQuorum != mReplica.isInTouch()) {
-            mHadQuorum = mReplica.isInTouch();
-            LOG.info("quorum %s", mHadQuorum ? "regained" : "lost");
+        if (mHadQuorumContact != mReplica.hasQuorumContact()) {
+            mHadQuorumContact = mReplica.hasQuorumContact();
+            LOG.info("quorum %s", mHadQuorumContact ? "regained" : "lost");
             mLinks.sendToEntries(notice());
         }
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterQuota.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterQuota.java
@@ -81,7 +81,7 @@
 
     /** Returns the leader's cluster address; empty if unknown. */
     private String leaderAddress() {
-        return mReplica.isInTouch() ? mReplica.leader().map(Member::address).orElse("") : "";
+        return mReplica.hasQuorumContact() ? mReplica.leader().map(Member::address).orElse("") : "";
     }
 
     /** Takes back units that were granted but not used. */
