--- a/org.orchidmount.test/src/test/java/org/orchidmount/consensus/SimulatedGroup.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/consensus/SimulatedGroup.java
@@ -343,7 +343,7 @@
                         accepted -> mAccepted = Math.max(mAccepted, accepted ? version : 0));
             } else {
                 long acceptedBefore = mAccepted;
-                replica.confirm(confirmed -> read(machine, confirmed, acceptedBefore));
+                replica.confirmRead(confirmed -> read(machine, confirmed, acceptedBefore));
             }
         }
         after((50 + mRandom.nextLong(400)) * MILLI, this::change);
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/EntryNode.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/EntryNode.java
@@ -445,7 +445,7 @@
     private void onNotice(Link link, TableNotice notice) {
         mNotices.putLast(link, notice);
         mEntryCount = Math.max(1, largestEntryCount());
-        checkTable();
+        requestNewerTableAndCheckReadiness();
         boolean isNewest = mTable != null && mTable.version() >= notice.version();
         if (notice.hasQuorum() && isNewest) {
             mConfirmedNanos = mClock.nanoTime();
@@ -498,7 +498,7 @@
      * Requests a newer table if a voter has announced one, and checks whether the table held may be
      * served from.
      */
-    private void checkTable() {
+    private void requestNewerTableAndCheckReadiness() {
         long held = mTable == null ? 0 : mTable.version();
         Link newest = null;
         for (Map.Entry<Link, TableNotice> notice : mNotices.entrySet()) {
@@ -534,7 +534,7 @@
         } catch (IllegalArgumentException e) {
             LOG.error("table " + document.version() + " cannot be parsed and is not applied", e);
         }
-        checkTable();
+        requestNewerTableAndCheckReadiness();
     }
 
     private void tick() {
@@ -556,7 +556,7 @@
         if (mLinks.isEmpty()) {
             mLastUnlinkedNanos = nowNanos;
         }
-        checkTable();
+        requestNewerTableAndCheckReadiness();
     }
 
     private void onClosed(Link link) {
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/Link.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/Link.java
@@ -44,13 +44,13 @@
     private static final int MAX_LOGGED_PEER_TEXT = 300;
 
     /** Number of messages queued for a slow peer at which the link is closed. */
-    private static final int MAX_QUEUED = 512;
+    private static final int MAX_QUEUED_MESSAGES = 512;
 
     private static final Frame KEEP_ALIVE_FRAME = new Frame(new KeepAlive());
 
     private final Socket mSocket;
     private final Handler mHandler;
-    private final BlockingQueue<Frame> mQueue = new ArrayBlockingQueue<>(MAX_QUEUED);
+    private final BlockingQueue<Frame> mQueue = new ArrayBlockingQueue<>(MAX_QUEUED_MESSAGES);
     private final AtomicBoolean mClosed = new AtomicBoolean();
 
     /**
@@ -166,7 +166,7 @@
         if (!mQueue.offer(frame)) {
             LOG.info(
                     "link to %s closed: peer reads too slowly, %d messages queued",
-                    peer(), MAX_QUEUED);
+                    peer(), MAX_QUEUED_MESSAGES);
             close();
         }
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterLimits.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterLimits.java
@@ -71,7 +71,7 @@
     }
 
     /** Returns the limits in force with their counted use. */
-    List<UpstreamLimitUse> uses(VoterQuota quota) {
+    List<UpstreamLimitUse> limitsWithUse(VoterQuota quota) {
         return mLimits.all().stream()
                 .filter(UpstreamLimit::isInForce)
                 .map(limit -> use(limit, quota))
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterNode.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterNode.java
@@ -175,7 +175,7 @@
                     } else if (same && !Arrays.equals(document, newest.tableDocument())) {
                         done.accept(new TableReply.Conflict(version));
                     } else {
-                        mReplica.confirm(
+                        mReplica.confirmRead(
                                 confirmed ->
                                         done.accept(accepted(confirmed, newest.tableVersion())));
                     }
@@ -194,7 +194,7 @@
     public CompletableFuture<TableReply> readTable() {
         return runOnLeader(
                 done ->
-                        mReplica.confirm(
+                        mReplica.confirmRead(
                                 confirmed ->
                                         done.accept(
                                                 confirmed
@@ -268,7 +268,7 @@
      * @return the limits in force; may never complete
      */
     public CompletableFuture<List<UpstreamLimitUse>> upstreamLimits() {
-        return query(() -> mRecords.limits().uses(mQuota));
+        return query(() -> mRecords.limits().limitsWithUse(mQuota));
     }
 
     /** Evaluates a query on the voter's thread. */
--- a/org.orchidmount/src/main/java/org/orchidmount/consensus/Replica.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/consensus/Replica.java
@@ -447,7 +447,7 @@
      *
      * @param done called with true once both hold, with false if this replica does not lead
      */
-    public void confirm(Consumer<Boolean> done) {
+    public void confirmRead(Consumer<Boolean> done) {
         if (mRole != Role.LEADER) {
             done.accept(false);
             return;
--- a/org.orchidmount/src/main/java/org/orchidmount/limits/AccountLimits.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/limits/AccountLimits.java
@@ -70,7 +70,7 @@
         QuotaRequest request =
                 new QuotaRequest(account.name(), shared, tableVersion, limit.units(statedTokens));
         Duration maxWait = Duration.ofNanos((long) (OWNER_WAIT_SHARE * target.toNanos()));
-        return new Grant(Optional.of(request), mQuota.take(request, maxWait));
+        return new Grant(Optional.of(request), mQuota.acquire(request, maxWait));
     }
 
     /**
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/LimitStatement.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/LimitStatement.java
@@ -27,7 +27,9 @@
         public PerSecond {
             if (!Double.isFinite(perSecond) || perSecond < 0) {
                 throw new IllegalArgumentException(
-                        "invalid rate limit: " + perSecond + " requests per second");
+                        "invalid rate limit stated by an upstream: "
+                                + perSecond
+                                + " requests per second");
             }
         }
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/LocalRateLimiter.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/LocalRateLimiter.java
@@ -55,7 +55,7 @@
      * @param perSecond rate that it accepts from all instances, above 0
      * @return time to wait before the next attempt; zero if the request may be sent now
      */
-    Duration take(Incarnation upstream, double perSecond) {
+    Duration acquire(Incarnation upstream, double perSecond) {
         long nowNanos = mClock.nanoTime();
         double rate = LOCAL_SHARE * perSecond;
         long intervalNanos =
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamLimit.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamLimit.java
@@ -32,7 +32,7 @@
         double number = perSecond.orElse(0);
         if (!Double.isFinite(number) || number < 0) {
             throw new IllegalArgumentException(
-                    "invalid rate limit: " + number + " requests per second");
+                    "invalid rate limit of an upstream: " + number + " requests per second");
         }
         if (version < 1) {
             throw new IllegalArgumentException(
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamThrottle.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamThrottle.java
@@ -178,7 +178,7 @@
         }
         QuotaRequest request = quotaRequest(limit.get());
         Duration ownerTimeout = Duration.ofNanos((long) (OWNER_TIMEOUT_SHARE * target.toNanos()));
-        QuotaAnswer answer = mQuota.take(request, ownerTimeout);
+        QuotaAnswer answer = mQuota.acquire(request, ownerTimeout);
         if (answer.isGranted()) {
             mCounted.incrementAndGet();
             return SendPermit.counted(request);
@@ -202,7 +202,7 @@
     }
 
     private SendPermit acquireWithoutOwner(UpstreamLimit limit) {
-        Duration wait = mLocalLimiter.take(limit.upstream(), rate(limit));
+        Duration wait = mLocalLimiter.acquire(limit.upstream(), rate(limit));
         if (wait.isZero()) {
             mSentWithoutOwner.incrementAndGet();
             return SendPermit.FREE;
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/QuotaRunLock.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/QuotaRunLock.java
@@ -47,7 +47,7 @@
     @Override
     public boolean tryAcquire(RequestFingerprint request) {
         try {
-            QuotaAnswer answer = mQuota.take(quotaRequest(request), OWNER_TIMEOUT);
+            QuotaAnswer answer = mQuota.acquire(quotaRequest(request), OWNER_TIMEOUT);
             if (answer.outcome() == QuotaAnswer.Outcome.GRANTED) {
                 mTaken.add(request);
             }
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/RunGuard.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/RunGuard.java
@@ -29,7 +29,7 @@
     public static final int SERIALIZE_PLAIN_AFTER = 2;
 
     private final CrashReports mReports;
-    private final Supplier<RequestFingerprint> mMakeFingerprint;
+    private final Supplier<RequestFingerprint> mFingerprintSupplier;
     private final int mSerializeAfter;
     private RequestFingerprint mFingerprint;
 
@@ -43,15 +43,15 @@
      * Creates a guard.
      *
      * @param reports crash reports of this instance
-     * @param makeFingerprint computes the fingerprint of the request
+     * @param fingerprintSupplier computes the fingerprint of the request
      * @param serializeAfter number of crashes from which copies of the request run one at a time
      */
     public RunGuard(
             CrashReports reports,
-            Supplier<RequestFingerprint> makeFingerprint,
+            Supplier<RequestFingerprint> fingerprintSupplier,
             int serializeAfter) {
         mReports = reports;
-        mMakeFingerprint = makeFingerprint;
+        mFingerprintSupplier = fingerprintSupplier;
         mSerializeAfter = serializeAfter;
     }
 
@@ -62,7 +62,7 @@
      */
     public RequestFingerprint fingerprint() {
         if (mFingerprint == null) {
-            mFingerprint = mMakeFingerprint.get();
+            mFingerprint = mFingerprintSupplier.get();
         }
         return mFingerprint;
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/RunningSuspects.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/RunningSuspects.java
@@ -20,7 +20,7 @@
         return mRunning.add(fingerprint);
     }
 
-    /** Reverts what {@link #tryBegin} has marked. */
+    /** Unmarks a request that {@link #tryBegin} has marked as running. */
     void end(RequestFingerprint fingerprint) {
         mRunning.remove(fingerprint);
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaOwner.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaOwner.java
@@ -200,7 +200,11 @@
         return isFirst ? QuotaTolerance.FIRST_LEASE_SHARE : QuotaTolerance.LATER_LEASE_SHARE;
     }
 
-    /** Applies the limit of the newest table, also to instances that do not have that table yet. */
+    /**
+     * Gives the bucket the limit that the request states, if that limit is from a newer table than
+     * the limit of the bucket. Requests of instances that do not have that table yet then count
+     * against the newer limit too.
+     */
     private static void applyNewerLimit(Bucket bucket, QuotaRequest request) {
         if (request.version() > bucket.mVersion) {
             bucket.mVersion = request.version();
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/SharedQuota.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/SharedQuota.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeoutException;
 import org.orchidmount.internal.log.PartLog;
 
-/** Takes units of limits that all instances share. Thread-safe. */
+/** Acquires units of limits that all instances share. Thread-safe. */
 public final class SharedQuota {
     private static final PartLog LOG = PartLog.of("quota");
 
@@ -28,15 +28,15 @@
     }
 
     /**
-     * Takes units. If the owner does not answer, the request is repeated once, and voters without
-     * the lease may grant it.
+     * Acquires units. If the owner does not answer, the request is repeated once, and voters
+     * without the lease may grant it.
      *
      * @param request the request
      * @param timeout time to wait in each of the two attempts
      * @return granted; or not, with the time to retry after
      * @throws InterruptedException if the thread is interrupted
      */
-    public QuotaAnswer take(QuotaRequest request, Duration timeout) throws InterruptedException {
+    public QuotaAnswer acquire(QuotaRequest request, Duration timeout) throws InterruptedException {
         QuotaAnswer answer = await(mOwner.requestUnits(request), timeout);
         if (answer.outcome() != QuotaAnswer.Outcome.NO_OWNER) {
             return answer;
@@ -62,10 +62,10 @@
     }
 
     /**
-     * Returns units that were taken and not used. Units granted without the owner are not returned,
-     * because its bucket never counted them.
+     * Returns units that were acquired and not used. Units granted without the owner are not
+     * returned, because its bucket never counted them.
      *
-     * @param request the request that took the units
+     * @param request the request that acquired the units
      * @param answer the answer that granted them
      */
     public void refund(QuotaRequest request, QuotaAnswer answer) {
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Prefiller.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Prefiller.java
@@ -39,7 +39,7 @@
     private static final PartLog LOG = PartLog.of("prefill");
 
     /** Time allowed to read the body of a prefill response after its head. */
-    private static final Duration BODY_TIMEOUT = Duration.ofMillis(500);
+    private static final Duration RESPONSE_BODY_TIMEOUT = Duration.ofMillis(500);
 
     /**
      * Time within which an unused KV cache is used by another attempt; half of the 500 ms for which
@@ -47,7 +47,10 @@
      */
     private static final Duration REUSE_WINDOW = Duration.ofMillis(250);
 
-    /** Maximum number of engines asked in turn, so that one silent engine costs only one wait. */
+    /**
+     * Maximum number of prefill engines that {@link #prefill} asks, one after another. If the first
+     * fails or stays silent, a second is asked; more are not, since each may cost a further wait.
+     */
     private static final int MAX_ENGINES = 2;
 
     /**
@@ -240,7 +243,7 @@
     private Optional<KvCacheRef> onResponseHead(
             Assignment assignment, HttpCall call, ClientResponse response)
             throws CallFailedException, IOException {
-        byte[] body = call.readAll(BODY_TIMEOUT, RelayContext.MAX_CONTROL_BYTES);
+        byte[] body = call.readAll(RESPONSE_BODY_TIMEOUT, RelayContext.MAX_CONTROL_BYTES);
         if (!HttpStatus.isOk(response.getResponseCode())) {
             LOG.debug(
                     "%s: prompt not prefilled at %s: status %d",
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/JointPolicy.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/JointPolicy.java
@@ -21,7 +21,7 @@
  * immediately. Stateless and thread-safe.
  */
 public final class JointPolicy implements Policy {
-    /** Name of the policy in settings and reports. */
+    /** Name of this routing policy in settings and reports. */
     public static final String NAME = "orchidmount";
 
     private static final double MILLIS_PER_SECOND = 1e3;
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/LeastLoadPolicy.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/LeastLoadPolicy.java
@@ -15,7 +15,7 @@
  * and thread-safe.
  */
 public final class LeastLoadPolicy implements Policy {
-    /** Name of the policy in settings and reports. */
+    /** Name of this routing policy in settings and reports. */
     public static final String NAME = "least-load";
 
     @Override
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/RoundRobinPolicy.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/RoundRobinPolicy.java
@@ -13,7 +13,7 @@
  * thread-safe.
  */
 public final class RoundRobinPolicy implements Policy {
-    /** Name of the policy in settings and reports. */
+    /** Name of this routing policy in settings and reports. */
     public static final String NAME = "round-robin";
 
     @Override
