--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/BadFrameTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/BadFrameTest.java
@@ -29,7 +29,7 @@
 import org.orchidmount.cluster.ClusterMessage.Greeting;
 import org.orchidmount.cluster.ClusterMessage.InFlightSequences;
 import org.orchidmount.cluster.ClusterMessage.Registrations;
-import org.orchidmount.cluster.ClusterMessage.RegistrationsHeld;
+import org.orchidmount.cluster.ClusterMessage.RegistrationsAck;
 import org.orchidmount.cluster.ClusterMessage.Voters;
 import org.orchidmount.consensus.Member;
 import org.orchidmount.junit.Await;
@@ -47,7 +47,7 @@
  * on the same link never arrived.
  */
 final class BadFrameTest {
-    private static final Incarnation ENGINE = Incarnation.ofUnstatedStart("i-1");
+    private static final Incarnation ENGINE = Incarnation.ofUnknownStart("i-1");
     private static final Duration LONGEST = Duration.ofSeconds(10);
     private static final Greeting GREETING = new Greeting(VoterNode.PROTOCOL, "peer", "zone", null);
     private static final int TABLE_DOCUMENT = 6;
@@ -131,9 +131,9 @@
         assertThrows(IOException.class, () -> ClusterCodec.decode(unreadable));
         send(GREETING);
         send(unreadable);
-        send(new RegistrationsHeld(7));
-        Await.until("the next", LONGEST, () -> mReceived.contains(new RegistrationsHeld(7)));
-        assertThat(mReceived).containsExactly(GREETING, new RegistrationsHeld(7)).inOrder();
+        send(new RegistrationsAck(7));
+        Await.until("the next", LONGEST, () -> mReceived.contains(new RegistrationsAck(7)));
+        assertThat(mReceived).containsExactly(GREETING, new RegistrationsAck(7)).inOrder();
         assertThat(mClosed).isEmpty();
     }
 
@@ -205,7 +205,10 @@
     void aDepartureNeedsNoMoreThanAnIdentity() throws IOException {
         Registrations gone =
                 new Registrations(
-                        3, List.of(registration("i-1", "", "", 0, 0).in(Registration.State.GONE)));
+                        3,
+                        List.of(
+                                registration("i-1", "", "", 0, 0)
+                                        .withState(Registration.State.GONE)));
         assertThat(decoded(gone)).isEqualTo(gone);
     }
 
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/ClusterCodecTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/ClusterCodecTest.java
@@ -31,8 +31,8 @@
 import org.orchidmount.quarantine.CrashRecord;
 import org.orchidmount.quarantine.RequestFingerprint;
 import org.orchidmount.quota.QuotaAnswer;
-import org.orchidmount.quota.QuotaAsk;
 import org.orchidmount.quota.QuotaLimit;
+import org.orchidmount.quota.QuotaRequest;
 
 /** Tests {@code ClusterCodec}. */
 final class ClusterCodecTest {
@@ -54,10 +54,10 @@
                 new ClusterMessage.TableNotice(5, true, 8),
                 new ClusterMessage.TableRequest(),
                 new ClusterMessage.Registrations(3, List.of(engine("i-1"))),
-                new ClusterMessage.RegistrationsHeld(3),
-                new ClusterMessage.QuotaRequest(
+                new ClusterMessage.RegistrationsAck(3),
+                new ClusterMessage.QuotaRequestMessage(
                         7,
-                        new QuotaAsk(
+                        new QuotaRequest(
                                 "mill",
                                 new QuotaLimit(12.5, 30, 4, Duration.ofSeconds(8)),
                                 9,
@@ -74,7 +74,7 @@
                 replication(new ReplicaMessage.Append(5, A, ENTRY, STATE, ENTRY, 8)),
                 replication(new ReplicaMessage.Append(5, A, ENTRY, null, ENTRY, 8)),
                 replication(new ReplicaMessage.AppendReply(5, "a/first", ENTRY, 8)),
-                replication(new ReplicaMessage.Hello(5, A, ENTRY)),
+                replication(new ReplicaMessage.Announce(5, A, ENTRY)),
                 new ClusterMessage.Registrations(3, List.of(engine("i-1"), startedEngine("i-2"))),
                 new ClusterMessage.InFlightSequences(
                         List.of(sequence(startedEngine("i-2").incarnation()))),
@@ -89,7 +89,7 @@
                                         2,
                                         "e"),
                                 new UpstreamLimit(
-                                        Incarnation.ofUnstatedStart("i-3"),
+                                        Incarnation.ofUnknownStart("i-3"),
                                         OptionalDouble.empty(),
                                         5,
                                         "f"))));
@@ -112,7 +112,7 @@
     }
 
     private static Registration startedEngine(String id) {
-        return engine(id).by(Incarnation.startedAt(id, 1_700_000_000_000L));
+        return engine(id).withIncarnation(Incarnation.startedAt(id, 1_700_000_000_000L));
     }
 
     private static ClusterMessage replication(ReplicaMessage message) {
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/StageControllerTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/StageControllerTest.java
@@ -33,11 +33,11 @@
     private static final long TERM = 7;
     private static final Duration WAIT = Duration.ofSeconds(10);
 
-    private final BlockingQueue<StageOrders.Order> mOrders = new LinkedBlockingQueue<>();
-    private volatile StageOrders.Result mResult = StageOrders.Result.TAKEN;
+    private final BlockingQueue<StageOrderClient.Order> mOrders = new LinkedBlockingQueue<>();
+    private volatile StageOrderClient.Result mResult = StageOrderClient.Result.TAKEN;
     private final StageController mController =
             new StageController(
-                    new VoterConfig.Stages(
+                    new VoterConfig.StageOrderConfig(
                             Duration.ofMillis(3_000),
                             Duration.ofMillis(1_000),
                             0.33,
@@ -55,8 +55,8 @@
         pass(TERM, 3_600);
         assertThat(mOrders).isEmpty();
         pass(TERM, 2_000);
-        StageOrders.Order order = mOrders.poll(10, TimeUnit.SECONDS);
-        assertThat(order.fence()).isEqualTo(TERM);
+        StageOrderClient.Order order = mOrders.poll(10, TimeUnit.SECONDS);
+        assertThat(order.fencingToken()).isEqualTo(TERM);
         assertThat(order.holder()).isEqualTo("voter-1");
     }
 
@@ -70,7 +70,7 @@
 
     @Test
     void anOrderThatMayYetBeDoneIsWaitedFor() throws InterruptedException {
-        mResult = StageOrders.Result.UNKNOWN;
+        mResult = StageOrderClient.Result.UNKNOWN;
         pass(TERM, 6_000);
         assertThat(mOrders.poll(10, TimeUnit.SECONDS)).isNotNull();
         pass(TERM, 12_000);
@@ -79,7 +79,7 @@
 
     @Test
     void aFencedLeaderGivesNoMoreOrders() throws InterruptedException {
-        mResult = StageOrders.Result.FENCED;
+        mResult = StageOrderClient.Result.FENCED;
         pass(TERM, 6_000);
         assertThat(mOrders.poll(10, TimeUnit.SECONDS)).isNotNull();
         pass(TERM, 60_000);
@@ -89,16 +89,16 @@
     @Test
     void anOrderOfAnEarlierTermThatIsFencedDoesNotStopTheNext() throws InterruptedException {
         CountDownLatch answer = new CountDownLatch(1);
-        BlockingQueue<StageOrders.Order> orders = new LinkedBlockingQueue<>();
+        BlockingQueue<StageOrderClient.Order> orders = new LinkedBlockingQueue<>();
         StageController controller =
                 new StageController(
                         stages(
                                 (order, stillHeld, statements) -> {
                                     orders.add(order);
                                     awaitUninterruptibly(answer);
-                                    return order.fence() == TERM
-                                            ? StageOrders.Result.FENCED
-                                            : StageOrders.Result.TAKEN;
+                                    return order.fencingToken() == TERM
+                                            ? StageOrderClient.Result.FENCED
+                                            : StageOrderClient.Result.TAKEN;
                                 }),
                         "voter-1",
                         new UpstreamPauses(new ManualClock()),
@@ -107,17 +107,17 @@
         while (orders.isEmpty()) {
             controller.tick(TERM, ENGINES, List.of(), () -> true, millis * MILLI);
             millis += 50;
-            Await.until("asked", WAIT, () -> !orders.isEmpty() || !controller.isCalling());
+            Await.until("asked", WAIT, () -> !orders.isEmpty() || !controller.isOrderInProgress());
         }
         controller.tick(TERM + 1, ENGINES, List.of(), () -> true, millis * MILLI);
         answer.countDown();
-        Await.until("ended", WAIT, () -> !controller.isCalling());
+        Await.until("ended", WAIT, () -> !controller.isOrderInProgress());
         orders.clear();
         for (long end = millis + 60_000; millis < end && orders.isEmpty(); millis += 50) {
             controller.tick(TERM + 1, ENGINES, List.of(), () -> true, millis * MILLI);
-            Await.until("ended", WAIT, () -> !controller.isCalling());
+            Await.until("ended", WAIT, () -> !controller.isOrderInProgress());
         }
-        assertThat(orders.poll(10, TimeUnit.SECONDS).fence()).isEqualTo(TERM + 1);
+        assertThat(orders.poll(10, TimeUnit.SECONDS).fencingToken()).isEqualTo(TERM + 1);
     }
 
     /**
@@ -131,7 +131,7 @@
     @Test
     void anOrderThatAnEngineTookBeforeItStartedAgainIsNotWaitedFor() throws InterruptedException {
         pass(TERM, 6_000);
-        StageOrders.Order taken = mOrders.poll(10, TimeUnit.SECONDS);
+        StageOrderClient.Order taken = mOrders.poll(10, TimeUnit.SECONDS);
         List<Registration> engines = startedAgain(taken.engine().id());
         pass(TERM, 1_000, engines);
         assertThat(mOrders).isEmpty();
@@ -142,9 +142,9 @@
     /** An order that may have been taken may yet be done by the start that follows. */
     @Test
     void anOrderWithoutAnAnswerIsWaitedForAlsoIfItsEngineStartsAgain() throws InterruptedException {
-        mResult = StageOrders.Result.UNKNOWN;
+        mResult = StageOrderClient.Result.UNKNOWN;
         pass(TERM, 6_000);
-        StageOrders.Order unknown = mOrders.poll(10, TimeUnit.SECONDS);
+        StageOrderClient.Order unknown = mOrders.poll(10, TimeUnit.SECONDS);
         pass(TERM, 12_000, startedAgain(unknown.engine().id()));
         assertThat(mOrders).isEmpty();
     }
@@ -159,7 +159,7 @@
                                 (order, stillHeld, statements) -> {
                                     held.add(stillHeld);
                                     awaitUninterruptibly(answer);
-                                    return StageOrders.Result.REFUSED;
+                                    return StageOrderClient.Result.REFUSED;
                                 }),
                         "voter-1",
                         new UpstreamPauses(new ManualClock()),
@@ -168,7 +168,7 @@
         while (held.isEmpty()) {
             controller.tick(TERM, ENGINES, List.of(), () -> true, millis * MILLI);
             millis += 50;
-            Await.until("asked", WAIT, () -> !held.isEmpty() || !controller.isCalling());
+            Await.until("asked", WAIT, () -> !held.isEmpty() || !controller.isOrderInProgress());
         }
         BooleanSupplier stillHeld = held.remove();
         controller.tick(TERM, ENGINES, List.of(), () -> true, millis * MILLI);
@@ -178,7 +178,7 @@
         controller.tick(TERM, engines, List.of(), () -> true, millis * MILLI);
         assertThat(stillHeld.getAsBoolean()).isFalse();
         answer.countDown();
-        Await.until("ended", WAIT, () -> !controller.isCalling());
+        Await.until("ended", WAIT, () -> !controller.isOrderInProgress());
     }
 
     private static List<Registration> startedAgain(String id) {
@@ -189,7 +189,7 @@
 
     private static Registration startedAgain(Registration engine) {
         long startMillis = engine.incarnation().startMillis().getAsLong();
-        return engine.by(Incarnation.startedAt(engine.id(), startMillis + 1));
+        return engine.withIncarnation(Incarnation.startedAt(engine.id(), startMillis + 1));
     }
 
     private static void awaitUninterruptibly(CountDownLatch latch) {
@@ -216,7 +216,7 @@
                                                     LimitStatement.NONE,
                                                     new PauseStatement.Lasting(pause),
                                                     false));
-                                    return StageOrders.Result.REFUSED;
+                                    return StageOrderClient.Result.REFUSED;
                                 }),
                         "voter-1",
                         new UpstreamPauses(clock),
@@ -238,11 +238,11 @@
         clock.advance(Duration.ofMillis(50));
         assertThat(clock.nanoTime()).isLessThan(Duration.ofMinutes(5).toNanos());
         controller.tick(TERM, ENGINES, List.of(), () -> true, clock.nanoTime());
-        Await.until("order ended", WAIT, () -> !controller.isCalling());
+        Await.until("order ended", WAIT, () -> !controller.isOrderInProgress());
     }
 
-    private static VoterConfig.Stages stages(StageOrders orders) {
-        return new VoterConfig.Stages(
+    private static VoterConfig.StageOrderConfig stages(StageOrderClient orders) {
+        return new VoterConfig.StageOrderConfig(
                 Duration.ofMillis(3_000), Duration.ofMillis(1_000), 0.33, orders);
     }
 
@@ -254,7 +254,8 @@
     private void pass(long term, long millis, List<Registration> engines) {
         for (long end = mNowMillis + millis; mNowMillis < end; mNowMillis += 50) {
             mController.tick(term, engines, List.of(), () -> true, mNowMillis * MILLI);
-            Await.until("order ended", Duration.ofSeconds(10), () -> !mController.isCalling());
+            Await.until(
+                    "order ended", Duration.ofSeconds(10), () -> !mController.isOrderInProgress());
         }
     }
 
--- a/org.orchidmount.test/src/test/java/org/orchidmount/cluster/UpstreamLimitRecordsTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/cluster/UpstreamLimitRecordsTest.java
@@ -29,15 +29,15 @@
 import org.orchidmount.membership.Registration;
 import org.orchidmount.pacing.UpstreamLimit;
 import org.orchidmount.quota.QuotaAnswer;
-import org.orchidmount.quota.QuotaAsk;
 import org.orchidmount.quota.QuotaLimit;
+import org.orchidmount.quota.QuotaRequest;
 
 /** What one entry hears of the limit of an upstream, all instances know. */
 final class UpstreamLimitRecordsTest {
     private static final Duration LONGEST = Duration.ofSeconds(20);
     private static final Incarnation UPSTREAM = Incarnation.startedAt("i-1", 7);
-    private static final QuotaAsk ASK =
-            new QuotaAsk("u", new QuotaLimit(100, 100, 0, Duration.ofSeconds(4)), 1, 1);
+    private static final QuotaRequest ASK =
+            new QuotaRequest("u", new QuotaLimit(100, 100, 0, Duration.ofSeconds(4)), 1, 1);
     private static final int VOTERS = 3;
 
     @TempDir Path mFolder;
@@ -154,7 +154,8 @@
     }
 
     private static boolean isGranted(EntryNode entry) {
-        return entry.countingOwner().askOwner(ASK).join().outcome() == QuotaAnswer.Outcome.GRANTED;
+        return entry.upstreamQuotaClient().requestUnits(ASK).join().outcome()
+                == QuotaAnswer.Outcome.GRANTED;
     }
 
     /** An instance that tells no capabilities is sent no frame that it does not know. */
@@ -186,7 +187,7 @@
                 List.of(
                         new UpstreamLimit(UPSTREAM, OptionalDouble.of(3.6), 2, "one"),
                         new UpstreamLimit(
-                                Incarnation.ofUnstatedStart("i-2"), OptionalDouble.empty(), 1, ""));
+                                Incarnation.ofUnknownStart("i-2"), OptionalDouble.empty(), 1, ""));
         UpstreamLimitCodec codec = new UpstreamLimitCodec();
         assertThat(codec.decode(codec.encode(limits))).isEqualTo(limits);
         UpstreamLimitRecords message = new UpstreamLimitRecords(limits);
--- a/org.orchidmount.test/src/test/java/org/orchidmount/consensus/SimulatedGroup.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/consensus/SimulatedGroup.java
@@ -248,7 +248,7 @@
 
         @Override
         public void committed(EntryId entry, GroupState state) {
-            check(entry.reaches(mNewestCommitted), "a replica's committed state went back");
+            check(entry.isAtLeast(mNewestCommitted), "a replica's committed state went back");
             mNewestCommitted = entry;
             GroupState known = mCommitted.put(entry, state);
             check(known == null || known.equals(state), "two states are committed at " + entry);
@@ -343,7 +343,7 @@
                         accepted -> mAccepted = Math.max(mAccepted, accepted ? version : 0));
             } else {
                 long acceptedBefore = mAccepted;
-                replica.confirm(confirmed -> read(machine, confirmed, acceptedBefore));
+                replica.confirmRead(confirmed -> read(machine, confirmed, acceptedBefore));
             }
         }
         after((50 + mRandom.nextLong(400)) * MILLI, this::change);
--- a/org.orchidmount.test/src/test/java/org/orchidmount/limits/LimitBookTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/limits/LocalLimitsTest.java
@@ -13,35 +13,35 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.orchidmount.limits.LimitBook.Limit;
+import org.orchidmount.limits.LocalLimits.Limit;
 import org.orchidmount.table.AccountRow;
 
-/** Tests {@link LimitBook} and {@link TokenBucketRetryBudget}. */
-class LimitBookTest {
+/** Tests {@link LocalLimits} and {@link TokenBucketRetryBudget}. */
+class LocalLimitsTest {
     private static final long SECOND = 1_000_000_000L;
 
     @Test
     void holdsAllLimitsOrNone() {
-        LimitBook book = new LimitBook();
+        LocalLimits limits = new LocalLimits();
         List<Limit> both = List.of(new Limit("account a", 2), new Limit("pool p", 1));
-        assertThat(book.tryHold(both)).isEmpty();
-        assertThat(book.tryHold(both)).isEqualTo(Optional.of(new Limit("pool p", 1)));
-        assertThat(book.running("account a")).isEqualTo(1);
-        book.release(both);
-        assertThat(book.all()).isEmpty();
+        assertThat(limits.tryAcquire(both)).isEmpty();
+        assertThat(limits.tryAcquire(both)).isEqualTo(Optional.of(new Limit("pool p", 1)));
+        assertThat(limits.running("account a")).isEqualTo(1);
+        limits.release(both);
+        assertThat(limits.all()).isEmpty();
     }
 
     @Test
     void rateAllowsOneSecondAtOnceAndTellsWhenToComeBack() {
-        LimitBook book = new LimitBook();
+        LocalLimits limits = new LocalLimits();
         AccountRow account = new AccountRow("a", "0".repeat(64), "c", 1, 0, 4);
         for (int i = 0; i < 4; i++) {
-            assertThat(book.takeRate(account, 0)).isEqualTo(0);
+            assertThat(limits.tryAcquireRate(account, 0)).isEqualTo(0);
         }
-        assertThat(book.takeRate(account, 0)).isEqualTo(250);
-        assertThat(book.takeRate(account, SECOND / 4)).isEqualTo(0);
-        assertThat(book.takeRate(account, SECOND / 4)).isEqualTo(250);
-        assertThat(book.takeRate(account, 100 * SECOND)).isEqualTo(0);
+        assertThat(limits.tryAcquireRate(account, 0)).isEqualTo(250);
+        assertThat(limits.tryAcquireRate(account, SECOND / 4)).isEqualTo(0);
+        assertThat(limits.tryAcquireRate(account, SECOND / 4)).isEqualTo(250);
+        assertThat(limits.tryAcquireRate(account, 100 * SECOND)).isEqualTo(0);
     }
 
     @ParameterizedTest
@@ -50,11 +50,11 @@
         TokenBucketRetryBudget budget = new TokenBucketRetryBudget(percent);
         int retries = 0;
         for (int i = 0; i < 100; i++) {
-            budget.countRequest();
-            retries += budget.tryTake() ? 1 : 0;
+            budget.recordRequest();
+            retries += budget.tryAcquire() ? 1 : 0;
         }
         for (int i = 0; i < 100; i++) {
-            retries += budget.tryTake() ? 1 : 0;
+            retries += budget.tryAcquire() ? 1 : 0;
         }
         assertThat(retries).isIn(Range.closed(expected * 9 / 10, expected));
     }
--- a/org.orchidmount.test/src/test/java/org/orchidmount/quarantine/CrashReportsTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/quarantine/CrashReportsTest.java
@@ -33,14 +33,14 @@
     private final CrashRegistry mRegistry = new CrashRegistry(mClock);
     private final List<CrashRecord> mAnnounced = new ArrayList<>();
     private volatile boolean mEnds;
-    private EndProbe.Finding mFinding = EndProbe.Finding.LISTENS;
+    private TerminationProbe.Finding mFinding = TerminationProbe.Finding.LISTENS;
     private final CrashReports mReports =
             new CrashReports(
                     mRegistry,
                     mAnnounced::add,
                     peer -> mFinding,
                     (peer, longest) -> mEnds,
-                    SharedTurns.ALONE,
+                    RunLock.UNCOORDINATED,
                     mClock);
 
     /** How a call to an upstream may fail. */
@@ -59,14 +59,14 @@
         Incarnation upstream =
                 registration("i-1", startMillis, ADDRESS, Registration.State.READY).incarnation();
         CrashRecord after = CrashRecord.none(REQUEST).afterCrash(0, 0);
-        mReports.mayHaveCrashed(how.mFailure, after, upstream, PEER);
+        mReports.suspectedCrash(how.mFailure, after, upstream, PEER);
     }
 
     private static Registration registration(
             String id, long startMillis, String address, Registration.State state) {
         Incarnation incarnation =
                 startMillis == 0
-                        ? Incarnation.ofUnstatedStart(id)
+                        ? Incarnation.ofUnknownStart(id)
                         : Incarnation.startedAt(id, startMillis);
         return new Registration(
                 incarnation, "s", address, "a", 1, Registration.Stage.NONE, state, 1);
@@ -114,7 +114,7 @@
         "SILENT, ENDED, 0",
     })
     void aBrokenCallToAnUpstreamThatHasEndedCountsAtOnce(
-            HowFailed how, EndProbe.Finding finding, int crashes) {
+            HowFailed how, TerminationProbe.Finding finding, int crashes) {
         mFinding = finding;
         fail(how, 5);
         assertThat(mRegistry.find(REQUEST).crashes()).isEqualTo(crashes);
@@ -142,11 +142,11 @@
 
     @Test
     void copiesOfARequestRunOneAtATime() {
-        assertThat(mReports.tryBegin(REQUEST)).isTrue();
-        assertThat(mReports.tryBegin(REQUEST)).isFalse();
-        assertThat(mReports.tryBegin(Fingerprints.of("other"))).isTrue();
-        mReports.end(REQUEST);
-        assertThat(mReports.tryBegin(REQUEST)).isTrue();
+        assertThat(mReports.tryAcquireRunLock(REQUEST)).isTrue();
+        assertThat(mReports.tryAcquireRunLock(REQUEST)).isFalse();
+        assertThat(mReports.tryAcquireRunLock(Fingerprints.of("other"))).isTrue();
+        mReports.releaseRunLock(REQUEST);
+        assertThat(mReports.tryAcquireRunLock(REQUEST)).isTrue();
     }
 
     @Test
--- a/org.orchidmount.test/src/test/java/org/orchidmount/quota/QuotaReserveTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/quota/QuotaReserveTest.java
@@ -22,7 +22,7 @@
 
     private static long takeAll(QuotaReserve reserve, String key, long nowNanos) {
         long taken = 0;
-        while (reserve.ask(new QuotaAsk(key, LIMIT, 1, 10), VOTERS, nowNanos).isGranted()) {
+        while (reserve.ask(new QuotaRequest(key, LIMIT, 1, 10), VOTERS, nowNanos).isGranted()) {
             taken += 10;
         }
         return taken;
@@ -31,8 +31,8 @@
     /** What a site tolerates is given out once: to three leases in a window and all reserves. */
     @Test
     void thePartsOfTheToleranceAreOneWhole() {
-        double starts = QuotaTolerance.FIRST_START_SHARE + 2 * QuotaTolerance.NEXT_START_SHARE;
-        double atAllTimes = QuotaTolerance.USED_SHARE + QuotaTolerance.OVERDRAFT_SHARE;
+        double starts = QuotaTolerance.FIRST_LEASE_SHARE + 2 * QuotaTolerance.LATER_LEASE_SHARE;
+        double atAllTimes = QuotaTolerance.CONSTANT_SHARE + QuotaTolerance.OVERDRAFT_SHARE;
         assertThat(starts + atAllTimes + QuotaTolerance.RESERVE_SHARE).isWithin(1e-9).of(1);
     }
 
@@ -65,15 +65,15 @@
     })
     void aVoterKnowsOfLeasesThatItSawBegin(long first, long second, long formerSeconds) {
         LeaseHistory leases = new LeaseHistory(1, false, 0);
-        leases.see(first, 10 * SECOND);
-        leases.see(second, 20 * SECOND);
-        assertThat(leases.formerNanos()).isEqualTo(formerSeconds * SECOND);
+        leases.observe(first, 10 * SECOND);
+        leases.observe(second, 20 * SECOND);
+        assertThat(leases.previousLeaseNanos()).isEqualTo(formerSeconds * SECOND);
     }
 
     @Test
     void atTheFirstStartOfTheSiteNoLeaseWasMissed() {
         LeaseHistory leases = new LeaseHistory(0, true, SECOND);
-        leases.see(1, 2 * SECOND);
-        assertThat(leases.formerNanos()).isLessThan(-1_000_000 * SECOND);
+        leases.observe(1, 2 * SECOND);
+        assertThat(leases.previousLeaseNanos()).isLessThan(-1_000_000 * SECOND);
     }
 }
--- a/org.orchidmount.test/src/test/java/org/orchidmount/relay/RelayRulesPinTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/relay/RelayRulesPinTest.java
@@ -67,13 +67,13 @@
                             15,
                             random.nextBoolean(),
                             excluded,
-                            UpstreamDirectory.Need.ANY_NUMBER,
+                            UpstreamDirectory.Need.UNLIMITED,
                             queue);
             Optional<Assignment> assignment = directory.assign(need, avoided);
             assignment.ifPresent(held::add);
             String outcome = held.isEmpty() ? "" : outcome(directory, held, random);
             String chosen = assignment.map(Assignment::id).orElse("none");
-            double done = assignment.map(Assignment::ordinaryMillis).orElse(0.0);
+            double done = assignment.map(Assignment::nominalMillis).orElse(0.0);
             lines.add(
                     String.format(
                             Locale.ROOT,
@@ -111,7 +111,7 @@
     }
 
     private static Incarnation incarnation(int number) {
-        return Incarnation.ofUnstatedStart("u-" + number);
+        return Incarnation.ofUnknownStart("u-" + number);
     }
 
     private static Registration registration(int number, Stage stage) {
@@ -142,10 +142,10 @@
         for (int i = 0; i < 1_500; i++) {
             clock.advance(Duration.ofNanos(random.nextLong(30_000_000)));
             if (random.nextInt(3) > 0) {
-                budget.countRequest();
+                budget.recordRequest();
             } else {
                 instances.set(1 + random.nextInt(4));
-                text.append(budget.tryTake() ? '1' : '0');
+                text.append(budget.tryAcquire() ? '1' : '0');
             }
         }
         return text.toString();
@@ -159,7 +159,8 @@
         for (int i = 0; i < 200; i++) {
             int expected = random.nextInt(5) == 0 ? 0 : random.nextInt(6_000);
             int most = random.nextInt(5) == 0 ? 0 : 50 + random.nextInt(8_000);
-            OutputLengthEstimator.Stated stated = new OutputLengthEstimator.Stated(expected, most);
+            OutputLengthEstimator.StatedLength stated =
+                    new OutputLengthEstimator.StatedLength(expected, most);
             lengths.observe(stated);
             int needed = lengths.expect(stated) + random.nextInt(9_000);
             lines.add(
--- a/org.orchidmount.test/src/test/java/org/orchidmount/relay/UpstreamDirectoryTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/relay/UpstreamDirectoryTest.java
@@ -6,7 +6,7 @@
 package org.orchidmount.relay;
 
 import static com.google.common.truth.Truth.assertThat;
-import static org.orchidmount.relay.UpstreamDirectory.Need.ANY_NUMBER;
+import static org.orchidmount.relay.UpstreamDirectory.Need.UNLIMITED;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -33,15 +33,19 @@
 /** Tests {@code UpstreamDirectory}. */
 final class UpstreamDirectoryTest {
     private static final UpstreamDirectory.Need NEED =
-            need(Stage.NONE, Set.of(), ANY_NUMBER, UpstreamDirectory.Backlog.OWN);
+            need(Stage.NONE, Set.of(), UNLIMITED, UpstreamDirectory.Backlog.OWN);
 
     private final ManualClock mClock = new ManualClock();
     private final UpstreamDirectory mDirectory =
             new UpstreamDirectory("a", mClock, new SplittableRandom(3));
 
     private static UpstreamDirectory.Need need(
-            Stage stage, Set<String> excluded, int mostAtOnce, UpstreamDirectory.Backlog backlog) {
-        return new UpstreamDirectory.Need("s", stage, 70, 15, true, excluded, mostAtOnce, backlog);
+            Stage stage,
+            Set<String> excluded,
+            int maxAssignments,
+            UpstreamDirectory.Backlog backlog) {
+        return new UpstreamDirectory.Need(
+                "s", stage, 70, 15, true, excluded, maxAssignments, backlog);
     }
 
     @Test
@@ -59,7 +63,7 @@
     @Test
     void whatLeavesGetsNoNewWork() {
         mDirectory.update(ready("i-a", "a", 1));
-        mDirectory.update(ready("i-a", "a", 1).in(State.DRAINING));
+        mDirectory.update(ready("i-a", "a", 1).withState(State.DRAINING));
         mDirectory.update(ready("i-a", "a", 1));
         assertThat(mDirectory.assign(NEED, Set.of())).isEmpty();
     }
@@ -129,7 +133,7 @@
         mDirectory.update(ready("i-a", "a", 1));
         mDirectory.update(ready("i-b", "b", 2));
         Assignment assignment = mDirectory.assign(NEED, tried("i-b")).get();
-        mDirectory.refusedDespiteRoom(assignment);
+        mDirectory.refusedDespiteReservation(assignment);
         mClock.advance(Duration.ofMillis(239));
         assertThat(mDirectory.avoided("s", Stage.NONE)).containsExactly("i-a");
         mClock.advance(Duration.ofMillis(1));
@@ -166,7 +170,7 @@
     void waitingBehindOthersIsNotSlowness() {
         mDirectory.update(ready("i-a", "a", 1));
         UpstreamDirectory.Backlog queue = (id, ownMillis) -> 630;
-        UpstreamDirectory.Need queued = need(Stage.PREFILL, Set.of(), ANY_NUMBER, queue);
+        UpstreamDirectory.Need queued = need(Stage.PREFILL, Set.of(), UNLIMITED, queue);
         mDirectory.update(engine("i-p"));
         for (int i = 0; i < 20; i++) {
             Assignment assignment = mDirectory.assign(queued, Set.of()).get();
@@ -222,7 +226,7 @@
     /** Serves requests one after another; returns how many each upstream got. */
     private Map<String, Integer> serve(int requests, int workMillis, Set<String> passedOver) {
         UpstreamDirectory.Need need =
-                need(Stage.NONE, passedOver, ANY_NUMBER, UpstreamDirectory.Backlog.OWN);
+                need(Stage.NONE, passedOver, UNLIMITED, UpstreamDirectory.Backlog.OWN);
         Map<String, Integer> served = new HashMap<>();
         for (int i = 0; i < requests; i++) {
             Assignment assignment = mDirectory.assign(need, Set.of()).get();
@@ -242,8 +246,8 @@
         Registration other =
                 new Registration("i-1", "t", "10.0.0.1:80", "a", 4, Stage.NONE, State.READY, 2);
         mDirectory.update(other);
-        assertThat(mDirectory.takingWork("s", Stage.NONE)).hasSize(1);
-        assertThat(mDirectory.takingWork("t", Stage.NONE)).containsExactly(other.incarnation());
+        assertThat(mDirectory.available("s", Stage.NONE)).hasSize(1);
+        assertThat(mDirectory.available("t", Stage.NONE)).containsExactly(other.incarnation());
     }
 
     /** Guards against more connections to an upstream than it accepts. */
@@ -269,7 +273,7 @@
         mDirectory.update(ready("i-a", "a", 1));
         mDirectory.update(ready("i-b", "b", 2));
         UpstreamDirectory.Backlog queue = (id, ownMillis) -> id.equals("i-a") ? 400 : ownMillis;
-        UpstreamDirectory.Need need = need(Stage.NONE, Set.of(), ANY_NUMBER, queue);
+        UpstreamDirectory.Need need = need(Stage.NONE, Set.of(), UNLIMITED, queue);
         assertThat(mDirectory.assign(need, Set.of()).get().id()).isEqualTo("i-b");
     }
 
@@ -336,7 +340,7 @@
     void oneThatSaysSoLeaves(State state) {
         mDirectory.update(ready("i-a", "a", 1));
         Assignment assignment = mDirectory.assign(NEED, Set.of()).get();
-        mDirectory.update(ready("i-a", "a", 1).in(state));
+        mDirectory.update(ready("i-a", "a", 1).withState(state));
         assertThat(mDirectory.isLeaving(assignment)).isTrue();
         mDirectory.misdirected(assignment);
         assertThat(mDirectory.isLeaving(assignment)).isTrue();
@@ -416,7 +420,7 @@
 
     @Test
     void aNewStartTakesWorkAfterTheOneBeforeHasLeft() {
-        mDirectory.update(started("i-a", 1, 10).in(State.GONE));
+        mDirectory.update(started("i-a", 1, 10).withState(State.GONE));
         mDirectory.update(started("i-a", 2, 11));
         Assignment assignment = mDirectory.assign(NEED, Set.of()).get();
         assertThat(assignment.peer().host()).isEqualTo("10.0.0.2");
@@ -435,8 +439,8 @@
     @Test
     void anOlderStartThatArrivesLateChangesNothing() {
         mDirectory.update(started("i-a", 2, 11));
-        mDirectory.update(started("i-a", 1, 10).in(State.GONE));
-        mDirectory.update(ready("i-a", "a", 1).in(State.GONE));
+        mDirectory.update(started("i-a", 1, 10).withState(State.GONE));
+        mDirectory.update(ready("i-a", "a", 1).withState(State.GONE));
         Assignment assignment = mDirectory.assign(NEED, Set.of()).get();
         assertThat(assignment.peer().host()).isEqualTo("10.0.0.2");
     }
@@ -445,7 +449,7 @@
     @Test
     void anEarlierStartIsTakenOnceTheLaterOneHasLeft() {
         mDirectory.update(started("i-a", 1, 11));
-        mDirectory.update(started("i-a", 1, 11).in(State.GONE));
+        mDirectory.update(started("i-a", 1, 11).withState(State.GONE));
         mDirectory.update(started("i-a", 2, 10));
         Assignment assignment = mDirectory.assign(NEED, Set.of()).get();
         assertThat(assignment.peer().host()).isEqualTo("10.0.0.2");
@@ -465,12 +469,12 @@
     void workOfTheOneBeforeIsToldFromThatOfTheNewStart() {
         mDirectory.update(started("i-a", 1, 10));
         Assignment before = mDirectory.assign(NEED, Set.of()).get();
-        assertThat(before.hasStartedAgain()).isFalse();
-        mDirectory.update(started("i-a", 1, 10).in(State.DRAINING));
-        assertThat(before.hasStartedAgain()).isFalse();
+        assertThat(before.hasRestarted()).isFalse();
+        mDirectory.update(started("i-a", 1, 10).withState(State.DRAINING));
+        assertThat(before.hasRestarted()).isFalse();
         mDirectory.update(started("i-a", 1, 11));
-        assertThat(before.hasStartedAgain()).isTrue();
-        assertThat(mDirectory.assign(NEED, Set.of()).get().hasStartedAgain()).isFalse();
+        assertThat(before.hasRestarted()).isTrue();
+        assertThat(mDirectory.assign(NEED, Set.of()).get().hasRestarted()).isFalse();
     }
 
     /**
@@ -484,13 +488,13 @@
         Assignment assignment = mDirectory.assign(NEED, tried("i-b")).get();
         mDirectory.unreachable(assignment);
         mDirectory.update(started("i-a", 3, 10));
-        assertThat(assignment.hasStartedAgain()).isFalse();
+        assertThat(assignment.hasRestarted()).isFalse();
         assertThat(mDirectory.avoided("s", Stage.NONE)).containsExactly("i-a");
         mClock.advance(Duration.ofSeconds(10));
         Assignment next = mDirectory.assign(NEED, tried("i-b")).get();
         assertThat(next.peer().host()).isEqualTo("10.0.0.3");
         mDirectory.update(started("i-a", 3, 11));
-        assertThat(assignment.hasStartedAgain()).isTrue();
+        assertThat(assignment.hasRestarted()).isTrue();
     }
 
     /** One that leaves may name any address; the one that works there keeps it. */
@@ -529,11 +533,11 @@
     }
 
     private static Set<Incarnation> tried(String id) {
-        return Set.of(Incarnation.ofUnstatedStart(id));
+        return Set.of(Incarnation.ofUnknownStart(id));
     }
 
     private static Registration started(String id, int machine, long startMillis) {
-        return ready(id, "a", machine).by(Incarnation.startedAt(id, startMillis));
+        return ready(id, "a", machine).withIncarnation(Incarnation.startedAt(id, startMillis));
     }
 
     private static Registration engine(String id) {
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/CrashRecordCodec.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/CrashRecordCodec.java
@@ -15,21 +15,21 @@
 import org.orchidmount.quarantine.CrashRecord;
 import org.orchidmount.quarantine.RequestFingerprint;
 
-/** Writes and reads crash records, in frames and in files. Stateless and thread-safe. */
+/** Encodes and decodes crash records for frames and files. Stateless and thread-safe. */
 final class CrashRecordCodec implements RecordFile.Codec<CrashRecord> {
     static void write(MessageBufferPacker out, List<CrashRecord> records) throws IOException {
         out.packArrayHeader(records.size());
         for (CrashRecord record : records) {
             out.packString(record.fingerprint().hex()).packLong(record.epoch());
-            out.packInt(record.crashes()).packInt(record.crashesHere());
+            out.packInt(record.crashes()).packInt(record.crashesAtPosition());
             out.packLong(record.position());
         }
     }
 
     /**
-     * Reads records.
+     * Reads crash records.
      *
-     * @throws IOException if one is not what it must be
+     * @throws IOException if a record is malformed
      */
     static List<CrashRecord> read(MessageUnpacker in) throws IOException {
         int size = in.unpackArrayHeader();
@@ -60,7 +60,7 @@
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(body)) {
             return read(in);
         } catch (MessagePackException | IllegalArgumentException e) {
-            throw new IOException("garbled crash records: " + e.getMessage(), e);
+            throw new IOException("malformed crash records: " + e.getMessage(), e);
         }
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/EntryNode.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/EntryNode.java
@@ -24,7 +24,7 @@
 import org.orchidmount.cluster.ClusterMessage.KeepAlive;
 import org.orchidmount.cluster.ClusterMessage.QuotaReply;
 import org.orchidmount.cluster.ClusterMessage.Registrations;
-import org.orchidmount.cluster.ClusterMessage.RegistrationsHeld;
+import org.orchidmount.cluster.ClusterMessage.RegistrationsAck;
 import org.orchidmount.cluster.ClusterMessage.TableDocument;
 import org.orchidmount.cluster.ClusterMessage.TableNotice;
 import org.orchidmount.cluster.ClusterMessage.TableRequest;
@@ -42,17 +42,18 @@
 import org.orchidmount.quarantine.CrashRecord;
 import org.orchidmount.quarantine.CrashRegistry;
 import org.orchidmount.quota.QuotaAnswer;
-import org.orchidmount.quota.QuotaAsk;
 import org.orchidmount.quota.QuotaOwnerClient;
+import org.orchidmount.quota.QuotaRequest;
 import org.orchidmount.routes.RouteTable;
 import org.orchidmount.routes.RouteTableParser;
 
 /**
- * What an entry knows from the voters: the route table in force and the upstreams.
+ * The cluster node of an entry: receives the route table and the upstream registrations from the
+ * voters.
  *
- * <p>Invariants: the table never goes back to a lower version; an upstream that has begun to leave
- * comes back only by a new start. What is known stays in use while no voter can be reached. The
- * state is confined to one thread; the public methods are thread-safe.
+ * <p>Invariants: the table in force never reverts to a lower version; an upstream that has begun to
+ * drain is used again only after a restart, as a new incarnation. Known data stays in use while no
+ * voter can be reached. The state is confined to one thread; the public methods are thread-safe.
  */
 public final class EntryNode
         implements SequenceAnnouncer,
@@ -62,36 +63,40 @@
                 AutoCloseable {
     private static final PartLog LOG = PartLog.of("entry");
 
-    /** Pause between two looks at links and tables. */
+    /** Interval of the periodic check of links and tables. */
     private static final long TICK_MILLIS = 200;
 
-    /** Pause between two announcements of progress; others forget after three missed. */
-    private static final long ANNOUNCE_AGAIN_MILLIS = 1_500;
+    /**
+     * Interval of progress announcements; other instances discard a sequence after three missed
+     * announcements.
+     */
+    private static final long ANNOUNCE_INTERVAL_MILLIS = 1_500;
 
-    /** Pause between two requests for a table. */
-    private static final Duration REQUEST_AGAIN_AFTER = Duration.ofMillis(250);
+    /** Minimum interval between two requests for a table. */
+    private static final Duration TABLE_REQUEST_INTERVAL = Duration.ofMillis(250);
 
     /**
-     * How long the registration of an upstream that has left is remembered: less than by voters,
-     * which tell a start once, so that each one that they take is taken here.
+     * Retention of the registration of an upstream that has left. Shorter than at voters: these
+     * forward a new registration only once, so an entry must not reject one that a voter has
+     * accepted.
      */
-    private static final Duration REMEMBER_FOR = Duration.ofMinutes(9);
+    private static final Duration DEPARTURE_RETENTION = Duration.ofMinutes(9);
 
-    /** A voter that is silent for this long is no longer dialled. */
-    private static final Duration FORGET_VOTER_AFTER = Duration.ofSeconds(30);
+    /** Time after which a silent voter is no longer dialled. */
+    private static final Duration VOTER_RETENTION = Duration.ofSeconds(30);
 
-    /** After this time a table of a voter without a quorum is served from. */
-    private static final Duration WAIT_FOR_QUORUM = Duration.ofSeconds(3);
+    /** Time after which an entry serves from a table of a voter that has no quorum. */
+    private static final Duration QUORUM_WAIT = Duration.ofSeconds(3);
 
     /**
-     * An instance that has just started has a table this soon unless its voters are lost: links
-     * take some 10 ms, and an election after a full restart 0.1 to 0.3 s.
+     * Time after the start by which an instance has a table unless its voters cannot be reached:
+     * links take some 10 ms to establish, an election after a full restart 0.1 to 0.3 s.
      */
-    private static final Duration TABLE_KNOWN_AFTER = Duration.ofSeconds(1);
+    private static final Duration FIRST_TABLE_WAIT = Duration.ofSeconds(1);
 
-    /** By then each instance has announced its sequences anew, and a little more. */
-    private static final Duration SEQUENCES_KNOWN_AFTER =
-            Duration.ofMillis(ANNOUNCE_AGAIN_MILLIS + 500);
+    /** Time after which every instance has announced its sequences again, with a margin. */
+    private static final Duration SEQUENCES_COMPLETE_AFTER =
+            Duration.ofMillis(ANNOUNCE_INTERVAL_MILLIS + 500);
 
     private final TaskThread mTasks = new TaskThread("entry", LOG);
     private final MonotonicClock mClock;
@@ -103,46 +108,49 @@
     private final Map<HostPort, Dialer> mDialers = new HashMap<>();
     private final Map<HostPort, Long> mSeenNanos = new HashMap<>();
 
-    /** The newest notice of each voter; those received last stand at the end. */
+    /** Newest notice of each voter, in order of receipt. */
     private final LinkedHashMap<Link, TableNotice> mNotices = new LinkedHashMap<>();
 
     private final Map<Link, HostPort> mLinks = new HashMap<>();
     private final Map<Link, Greeting> mGreetings = new HashMap<>();
-    private final Registry mRegistry = new Registry(REMEMBER_FOR.toNanos());
+    private final Registry mRegistry = new Registry(DEPARTURE_RETENTION.toNanos());
     private final Map<String, OwnSequence> mOwnSequences = new HashMap<>();
     private final QuotaRequests mQuotaRequests;
     private final EntryRecords mRecords;
     private final CountDownLatch mFirstTable = new CountDownLatch(1);
     private final long mStartNanos;
-    private long mRequestedNanos;
-    private volatile long mUnlinkedNanos;
+    private long mTableRequestedNanos;
+    private volatile long mLastUnlinkedNanos;
 
-    /** When a voter in touch with a quorum last said that the table held here is the newest. */
+    /**
+     * Time at which a voter with contact to a quorum last confirmed that the table held is the
+     * newest.
+     */
     private volatile long mConfirmedNanos;
 
-    private boolean mConfirmed;
+    private boolean mHasSeenQuorum;
     private volatile RouteTable mTable;
     private volatile boolean mReady;
-    private volatile int mEntries = 1;
+    private volatile int mEntryCount = 1;
 
-    /** A sequence that this instance has placed. */
+    /** A sequence placed by this instance, with its current progress. */
     private record OwnSequence(InFlightSequence sequence, IntSupplier generatedTokens) {
         InFlightSequence now() {
             return sequence.withGenerated(generatedTokens.getAsInt());
         }
     }
 
-    /** Takes what is received from the voters; called on the node's thread. */
+    /** Receives updates from the voters; called on the node's thread. */
     public interface Listener {
         /**
-         * Takes a registration that is new.
+         * Handles a new or changed registration.
          *
          * @param registration the registration
          */
         void onRegistration(Registration registration);
 
         /**
-         * Takes what an instance, perhaps this one, has announced of a sequence.
+         * Handles the announced progress of a sequence of any instance, this one included.
          *
          * @param sequence the sequence
          */
@@ -150,14 +158,14 @@
     }
 
     /**
-     * Starts to follow the voters.
+     * Creates a node and connects it to the voters.
      *
-     * @param node the instance's name
-     * @param zone its availability zone
+     * @param node the instance name
+     * @param zone the instance's availability zone
      * @param seeds cluster addresses of some voters
-     * @param parser reads tables
-     * @param listener takes registrations and announcements
-     * @param clock the clock
+     * @param parser the parser of table documents
+     * @param listener the receiver of registrations and announcements
+     * @param clock the monotonic clock
      */
     public EntryNode(
             String node,
@@ -174,33 +182,33 @@
         mQuotaRequests = new QuotaRequests(node.hashCode());
         mRecords = new EntryRecords(node, clock);
         mStartNanos = clock.nanoTime();
-        mRequestedNanos = mStartNanos - REQUEST_AGAIN_AFTER.toNanos();
-        mUnlinkedNanos = mStartNanos;
+        mTableRequestedNanos = mStartNanos - TABLE_REQUEST_INTERVAL.toNanos();
+        mLastUnlinkedNanos = mStartNanos;
         mConfirmedNanos = mStartNanos;
         mTasks.post(() -> mSeeds.forEach(this::dial));
-        mTasks.every(ANNOUNCE_AGAIN_MILLIS, this::announceAgain);
+        mTasks.every(ANNOUNCE_INTERVAL_MILLIS, this::announceProgress);
         mTasks.every(TICK_MILLIS, this::tick);
     }
 
     /**
-     * Returns the table in force here.
+     * Returns the route table in force.
      *
-     * @return the table, or nothing until one is known
+     * @return the table, or empty until one is received
      */
     public Optional<RouteTable> table() {
         return Optional.ofNullable(mTable);
     }
 
     /**
-     * Returns the table in force here, and waits for the first one shortly after the start, when it
-     * is most likely on its way.
+     * Returns the route table in force; shortly after the start, when the first one is most likely
+     * in transit, waits for it.
      *
-     * @param longest the longest wait
-     * @return the table; nothing if none is known by then
-     * @throws InterruptedException if the thread is interrupted
+     * @param longest the maximum wait
+     * @return the table, or empty if none was received in time
+     * @throws InterruptedException if the thread is interrupted while waiting
      */
     public Optional<RouteTable> awaitTable(Duration longest) throws InterruptedException {
-        long startingNanos = TABLE_KNOWN_AFTER.toNanos() - (mClock.nanoTime() - mStartNanos);
+        long startingNanos = FIRST_TABLE_WAIT.toNanos() - (mClock.nanoTime() - mStartNanos);
         if (mTable == null && startingNanos > 0) {
             mFirstTable.await(Math.min(startingNanos, longest.toNanos()), TimeUnit.NANOSECONDS);
         }
@@ -208,34 +216,36 @@
     }
 
     /**
-     * Tells whether a table is known that was in force when this instance started, or later.
+     * Returns whether this instance may serve: it has a table that is at least as new as the one in
+     * force when it started, as far as the voters could confirm that.
      *
-     * @return false until then
+     * @return true from then on
      */
     public boolean isReady() {
         return mReady;
     }
 
     /**
-     * Tells for how long nobody has confirmed that the table in force here is the newest.
+     * Returns the time since a voter with contact to a quorum last confirmed that the table in
+     * force here is the newest.
      *
-     * @return the time since a voter in touch with a quorum said so
+     * @return the time since the last confirmation, or since the start if there was none
      */
-    public Duration unconfirmedFor() {
+    public Duration timeSinceConfirmation() {
         return Duration.ofNanos(mClock.nanoTime() - mConfirmedNanos);
     }
 
     /**
-     * Returns how many entries share the limits of the site.
+     * Returns the number of entries that share the limits of the site.
      *
      * @return the number, at least 1
      */
-    public int entries() {
-        return mEntries;
+    public int entryCount() {
+        return mEntryCount;
     }
 
     /**
-     * Looks for voters at more addresses from now on.
+     * Adds addresses at which to look for voters.
      *
      * @param seeds cluster addresses of some voters
      */
@@ -262,9 +272,9 @@
     }
 
     /**
-     * Sends to one voter in each availability zone, which passes it on to the entries there: to the
-     * one whose notice is newest, which is most likely well. What a voter that has just been lost
-     * does not pass on is known to its zone with the next announcement of progress.
+     * Sends sequences to one voter in each availability zone, which relays them to the entries
+     * there. Chooses the voter with the most recent notice, as the one most likely to be up. If it
+     * was lost just before, its zone learns of the sequences with the next progress announcement.
      */
     private void announce(List<InFlightSequence> sequences) {
         Frame frame = new Frame(new InFlightSequences(sequences));
@@ -281,8 +291,11 @@
         return greeting == null ? "" : greeting.zone();
     }
 
-    /** Announces the progress of all own sequences, so that others forget those of the dead. */
-    private void announceAgain() {
+    /**
+     * Announces the progress of all own sequences; other instances discard sequences that are no
+     * longer announced.
+     */
+    private void announceProgress() {
         List<InFlightSequence> sequences =
                 mOwnSequences.values().stream().map(OwnSequence::now).toList();
         sequences.forEach(mListener::onSequence);
@@ -293,25 +306,25 @@
 
     @Override
     public boolean isComplete() {
-        return mClock.nanoTime() - mUnlinkedNanos > SEQUENCES_KNOWN_AFTER.toNanos();
+        return mClock.nanoTime() - mLastUnlinkedNanos > SEQUENCES_COMPLETE_AFTER.toNanos();
     }
 
     @Override
-    public CompletableFuture<QuotaAnswer> askOwner(QuotaAsk ask) {
+    public CompletableFuture<QuotaAnswer> requestUnits(QuotaRequest request) {
         CompletableFuture<QuotaAnswer> answer = new CompletableFuture<>();
-        mTasks.post(() -> mQuotaRequests.ask(ask, answer));
+        mTasks.post(() -> mQuotaRequests.ask(request, answer));
         return answer;
     }
 
     @Override
-    public void giveBack(String key, long units) {
-        mTasks.post(() -> mQuotaRequests.giveBack(key, units));
+    public void refund(String key, long units) {
+        mTasks.post(() -> mQuotaRequests.refund(key, units));
     }
 
     /**
-     * Returns what is known here of requests that crash upstreams.
+     * Returns the crash records known to this instance.
      *
-     * @return the registry, which goes on changing
+     * @return the live registry, updated as records arrive
      */
     public CrashRegistry crashes() {
         return mRecords.crashes();
@@ -323,9 +336,9 @@
     }
 
     /**
-     * Returns what is known here of limits that upstreams state.
+     * Returns the upstream rate limits known to this instance.
      *
-     * @return the limits, which go on changing
+     * @return the live limits, updated as records arrive
      */
     public UpstreamLimits limits() {
         return mRecords.limits();
@@ -337,10 +350,11 @@
     }
 
     /**
-     * Passes on that an upstream leaves, which it has said here in an answer. Voters hold it as if
-     * it had registered so, and pass it on. Returns at once.
+     * Announces to all voters that an upstream is leaving, as stated in one of its responses to
+     * this instance. The voters hold and forward this as if the upstream had registered it. Returns
+     * without waiting.
      *
-     * @param leaving its registration, as that of one that leaves
+     * @param leaving the registration of the upstream, in a leaving state
      */
     public void announceDeparture(Registration leaving) {
         mTasks.post(
@@ -350,13 +364,19 @@
                 });
     }
 
-    /** It names the start of each, if that is known, so that it is merged and not acknowledged. */
+    /**
+     * Returns a message that is merged but not acknowledged, since each registration carries its
+     * incarnation where that is known.
+     */
     private static Registrations departures(List<Registration> leaving) {
         return new Registrations(0, leaving);
     }
 
-    /** A voter that has started again may know these as they register: ready. */
-    private void repeatDepartures(Link voter) {
+    /**
+     * Sends the known departures to a voter: after a restart, it may hold these upstreams as ready,
+     * as they registered.
+     */
+    private void resendDepartures(Link voter) {
         List<Registration> leaving =
                 mRegistry.all().stream()
                         .filter(held -> held.state() == Registration.State.DRAINING)
@@ -367,24 +387,24 @@
     }
 
     /**
-     * Reaches the owner that counts what upstreams take and gives turns. Voters of earlier builds
-     * may know no questions; while one of them is linked, which may come to lead, there is no
-     * owner.
+     * Returns a client of the owner that counts the requests sent to upstreams. While a voter of an
+     * earlier build is linked, which may not support these requests and might become leader, the
+     * client answers that there is no owner.
      *
      * @return the client
      */
-    public QuotaOwnerClient countingOwner() {
-        return new CountingOwner();
+    public QuotaOwnerClient upstreamQuotaClient() {
+        return new UpstreamQuotaClient();
     }
 
-    private final class CountingOwner implements QuotaOwnerClient {
+    private final class UpstreamQuotaClient implements QuotaOwnerClient {
         @Override
-        public CompletableFuture<QuotaAnswer> askOwner(QuotaAsk ask) {
+        public CompletableFuture<QuotaAnswer> requestUnits(QuotaRequest request) {
             CompletableFuture<QuotaAnswer> answer = new CompletableFuture<>();
             mTasks.post(
                     () -> {
-                        if (mRecords.allVotersKnow(Capability.UPSTREAM_LIMITS)) {
-                            mQuotaRequests.ask(ask, answer);
+                        if (mRecords.allVotersSupport(Capability.UPSTREAM_LIMITS)) {
+                            mQuotaRequests.ask(request, answer);
                         } else {
                             answer.complete(QuotaAnswer.NO_OWNER);
                         }
@@ -393,8 +413,8 @@
         }
 
         @Override
-        public void giveBack(String key, long units) {
-            EntryNode.this.giveBack(key, units);
+        public void refund(String key, long units) {
+            EntryNode.this.refund(key, units);
         }
     }
 
@@ -406,7 +426,7 @@
         if (message instanceof InFlightSequences announced) {
             announced.sequences().forEach(mListener::onSequence);
         } else if (message instanceof QuotaReply reply) {
-            mQuotaRequests.received(reply);
+            mQuotaRequests.onReply(reply);
         } else if (message instanceof Registrations registrations) {
             onRegistrations(link, registrations);
         } else if (message instanceof TableNotice notice) {
@@ -414,7 +434,7 @@
         } else if (message instanceof TableDocument document) {
             apply(document);
         } else if (message instanceof Voters voters) {
-            voters.members().forEach(this::learn);
+            voters.members().forEach(this::addVoter);
         } else if (message instanceof Greeting greeting) {
             onGreeting(link, greeting);
         } else {
@@ -424,10 +444,10 @@
 
     private void onNotice(Link link, TableNotice notice) {
         mNotices.putLast(link, notice);
-        mEntries = Math.max(1, largestEntryCount());
-        follow();
+        mEntryCount = Math.max(1, largestEntryCount());
+        requestNewerTableAndCheckReadiness();
         boolean isNewest = mTable != null && mTable.version() >= notice.version();
-        if (notice.inTouch() && isNewest) {
+        if (notice.hasQuorum() && isNewest) {
             mConfirmedNanos = mClock.nanoTime();
         }
     }
@@ -437,12 +457,12 @@
         for (Registration registration : registrations.registrations()) {
             Optional<Registration> changed =
                     registrations.isDeparture()
-                            ? mRegistry.depart(registration, nowNanos)
+                            ? mRegistry.mergeDeparture(registration, nowNanos)
                             : mRegistry.merge(registration, nowNanos);
             changed.ifPresent(mListener::onRegistration);
         }
         if (registrations.isDeparture()) {
-            link.send(new RegistrationsHeld(registrations.number()));
+            link.send(new RegistrationsAck(registrations.number()));
         }
     }
 
@@ -452,28 +472,33 @@
 
     private void onGreeting(Link link, Greeting greeting) {
         if (greeting.protocol() != VoterNode.PROTOCOL || greeting.voter() == null) {
-            LOG.warn("%s is no voter that can be followed", greeting.node());
+            LOG.warn(
+                    "closing the link to %s: not a voter, or another protocol version",
+                    greeting.node());
             link.close();
             return;
         }
         HostPort voter = HostPort.parse(greeting.voter().address());
         mLinks.put(link, voter);
-        mQuotaRequests.linked(voter, link);
+        mQuotaRequests.onVoterLinked(voter, link);
         mGreetings.put(link, greeting);
         mRecords.linked(link, greeting);
-        repeatDepartures(link);
-        learn(greeting.voter());
-        LOG.info("voter %s is reached", greeting.node());
+        resendDepartures(link);
+        addVoter(greeting.voter());
+        LOG.info("connected to voter %s", greeting.node());
     }
 
-    private void learn(Member member) {
+    private void addVoter(Member member) {
         HostPort address = HostPort.parse(member.address());
         mSeenNanos.put(address, mClock.nanoTime());
         dial(address);
     }
 
-    /** Asks for a newer table, and decides whether the one held may be served from. */
-    private void follow() {
+    /**
+     * Requests a newer table if a voter has announced one, and checks whether the table held may be
+     * served from.
+     */
+    private void requestNewerTableAndCheckReadiness() {
         long held = mTable == null ? 0 : mTable.version();
         Link newest = null;
         for (Map.Entry<Link, TableNotice> notice : mNotices.entrySet()) {
@@ -484,21 +509,21 @@
             }
         }
         long nowNanos = mClock.nanoTime();
-        if (newest != null && nowNanos - mRequestedNanos >= REQUEST_AGAIN_AFTER.toNanos()) {
-            mRequestedNanos = nowNanos;
+        if (newest != null && nowNanos - mTableRequestedNanos >= TABLE_REQUEST_INTERVAL.toNanos()) {
+            mTableRequestedNanos = nowNanos;
             newest.send(new TableRequest());
         }
-        mConfirmed |= mNotices.values().stream().anyMatch(TableNotice::inTouch);
-        boolean waited = nowNanos - mStartNanos > WAIT_FOR_QUORUM.toNanos();
+        mHasSeenQuorum |= mNotices.values().stream().anyMatch(TableNotice::hasQuorum);
+        boolean hasWaited = nowNanos - mStartNanos > QUORUM_WAIT.toNanos();
         boolean known = mTable != null && newest == null;
-        if (!mReady && known && (mConfirmed || waited)) {
+        if (!mReady && known && (mHasSeenQuorum || hasWaited)) {
             mReady = true;
-            LOG.info("ready with table %d", mTable.version());
+            LOG.info("ready to serve with table %d", mTable.version());
         }
     }
 
     private void apply(TableDocument document) {
-        mRequestedNanos = mClock.nanoTime() - REQUEST_AGAIN_AFTER.toNanos();
+        mTableRequestedNanos = mClock.nanoTime() - TABLE_REQUEST_INTERVAL.toNanos();
         if (mTable != null && document.version() <= mTable.version()) {
             return;
         }
@@ -507,9 +532,9 @@
             mFirstTable.countDown();
             LOG.info("table %d is in force", document.version());
         } catch (IllegalArgumentException e) {
-            LOG.error("table " + document.version() + " cannot be read", e);
+            LOG.error("table " + document.version() + " cannot be parsed and is not applied", e);
         }
-        follow();
+        requestNewerTableAndCheckReadiness();
     }
 
     private void tick() {
@@ -518,7 +543,7 @@
         List<HostPort> silent = new ArrayList<>();
         mSeenNanos.forEach(
                 (address, seenNanos) -> {
-                    if (nowNanos - seenNanos > FORGET_VOTER_AFTER.toNanos()
+                    if (nowNanos - seenNanos > VOTER_RETENTION.toNanos()
                             && !mSeeds.contains(address)) {
                         silent.add(address);
                     }
@@ -527,11 +552,11 @@
             mSeenNanos.remove(address);
             mDialers.remove(address).close();
         }
-        mRegistry.forgetOld(nowNanos);
+        mRegistry.removeExpired(nowNanos);
         if (mLinks.isEmpty()) {
-            mUnlinkedNanos = nowNanos;
+            mLastUnlinkedNanos = nowNanos;
         }
-        follow();
+        requestNewerTableAndCheckReadiness();
     }
 
     private void onClosed(Link link) {
@@ -540,8 +565,8 @@
         mRecords.lost(link);
         HostPort voter = mLinks.remove(link);
         if (voter != null) {
-            mQuotaRequests.lost(voter, link);
-            LOG.info("voter at %s is lost", voter);
+            mQuotaRequests.onVoterLost(voter, link);
+            LOG.info("lost the connection to the voter at %s", voter);
         }
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/EntryRecords.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/EntryRecords.java
@@ -18,16 +18,16 @@
 import org.orchidmount.quarantine.CrashRegistry;
 
 /**
- * What an entry keeps and tells without agreement: crashes and limits of upstreams. Each is sent to
- * every voter, since each record matters and there are few; a voter that takes none is sent none.
- * Confined to the entry's thread, but for what it holds, which is thread-safe.
+ * Records that an entry holds and distributes without consensus: crash records and upstream limits.
+ *
+ * <p>Every record is sent to every voter that supports its kind, since each one matters and there
+ * are few. Confined to the entry's thread, except for the two collections, which are thread-safe.
  */
 final class EntryRecords {
     private final CrashRegistry mCrashes;
     private final UpstreamLimits mLimits;
     private final Map<Link, Greeting> mVoters = new HashMap<>();
 
-    /** Creates it without any records. */
     EntryRecords(String instance, MonotonicClock clock) {
         mCrashes = new CrashRegistry(clock);
         mLimits = new UpstreamLimits(instance, clock);
@@ -41,14 +41,15 @@
         return mLimits;
     }
 
-    /** Greets a voter with all records. */
+    /** Registers a linked voter and sends it all records. */
     void linked(Link voter, Greeting greeting) {
         mVoters.put(voter, greeting);
         if (!mCrashes.isEmpty()) {
-            sendIfKnown(voter, Capability.CRASH_RECORDS, new CrashRecords(mCrashes.all()));
+            sendIfSupported(voter, Capability.CRASH_RECORDS, new CrashRecords(mCrashes.all()));
         }
         if (!mLimits.isEmpty()) {
-            sendIfKnown(voter, Capability.UPSTREAM_LIMITS, new UpstreamLimitRecords(mLimits.all()));
+            sendIfSupported(
+                    voter, Capability.UPSTREAM_LIMITS, new UpstreamLimitRecords(mLimits.all()));
         }
     }
 
@@ -65,21 +66,21 @@
     }
 
     private void sendToAll(Capability capability, ClusterMessage message) {
-        mVoters.keySet().forEach(voter -> sendIfKnown(voter, capability, message));
+        mVoters.keySet().forEach(voter -> sendIfSupported(voter, capability, message));
     }
 
-    private void sendIfKnown(Link voter, Capability capability, ClusterMessage message) {
-        if (mVoters.get(voter).knows(capability)) {
+    private void sendIfSupported(Link voter, Capability capability, ClusterMessage message) {
+        if (mVoters.get(voter).supports(capability)) {
             voter.send(message);
         }
     }
 
-    /** Tells whether each voter that is linked understands something. */
-    boolean allVotersKnow(Capability capability) {
-        return mVoters.values().stream().allMatch(voter -> voter.knows(capability));
+    /** Returns whether every linked voter supports a capability. */
+    boolean allVotersSupport(Capability capability) {
+        return mVoters.values().stream().allMatch(voter -> voter.supports(capability));
     }
 
-    /** Takes a message of a voter if it carries records. */
+    /** Merges the records of a message; ignores other messages. */
     void received(ClusterMessage message) {
         if (message instanceof CrashRecords crashes) {
             mCrashes.merge(crashes.records());
--- a/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterNode.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/cluster/VoterNode.java
@@ -22,10 +22,10 @@
 import org.orchidmount.cluster.ClusterMessage.Greeting;
 import org.orchidmount.cluster.ClusterMessage.InFlightSequences;
 import org.orchidmount.cluster.ClusterMessage.KeepAlive;
-import org.orchidmount.cluster.ClusterMessage.QuotaRequest;
+import org.orchidmount.cluster.ClusterMessage.QuotaRequestMessage;
 import org.orchidmount.cluster.ClusterMessage.QuotaReturn;
 import org.orchidmount.cluster.ClusterMessage.Registrations;
-import org.orchidmount.cluster.ClusterMessage.RegistrationsHeld;
+import org.orchidmount.cluster.ClusterMessage.RegistrationsAck;
 import org.orchidmount.cluster.ClusterMessage.Replication;
 import org.orchidmount.cluster.ClusterMessage.TableDocument;
 import org.orchidmount.cluster.ClusterMessage.TableNotice;
@@ -48,27 +48,28 @@
 import org.orchidmount.routes.RouteTableParser;
 
 /**
- * An instance that votes on the route table and passes registrations on.
+ * The cluster node of a voter: takes part in the consensus on the route table and distributes
+ * registrations of upstreams.
  *
- * <p>Invariants: a change is answered as accepted only once it is synced at a quorum; a
- * registration that says an upstream leaves is answered only once a quorum holds it; what entries
- * are told is committed; units of a shared limit are granted only while it leads a quorum. All
- * state is confined to one thread; the public methods are thread-safe and answer by futures.
+ * <p>Invariants: a change is acknowledged only once it is synced at a quorum, the departure of an
+ * upstream only once a quorum holds it; entries are sent committed tables only; units of a shared
+ * limit are granted only while leading a quorum. State is confined to one thread; public methods
+ * are thread-safe, and their futures may never complete.
  */
 public final class VoterNode implements AutoCloseable {
-    /** The version of the protocol between instances. */
+    /** Version of the protocol between instances. */
     static final int PROTOCOL = 2;
 
     private static final PartLog LOG = PartLog.of("voter");
 
-    /** Pause between two ticks of the replica, a fraction of its timeouts. */
+    /** Interval between two ticks of the replica, a fraction of its time-outs. */
     private static final long TICK_MILLIS = 50;
 
-    /** Pause between two notices of the table to all entries. */
-    private static final long NOTICE_MILLIS = 1_000;
+    /** Interval between two table notices to all entries. */
+    private static final long NOTICE_INTERVAL_MILLIS = 1_000;
 
-    /** Nanoseconds for which an upstream that has left is remembered. */
-    private static final long REMEMBER_NANOS = Duration.ofMinutes(10).toNanos();
+    /** Retention of the registration of an upstream that has left. */
+    private static final long DEPARTURE_RETENTION_NANOS = Duration.ofMinutes(10).toNanos();
 
     private final TaskThread mTasks = new TaskThread("voter", LOG);
     private final MonotonicClock mClock;
@@ -78,29 +79,29 @@
     private final VoterLinks mLinks;
     private final LinkServer mServer;
     private final StageController mStages;
-    private final Registry mRegistry = new Registry(REMEMBER_NANOS);
+    private final Registry mRegistry = new Registry(DEPARTURE_RETENTION_NANOS);
     private final PendingDepartures mDepartures = new PendingDepartures();
     private final VoterQuota mQuota;
     private final VoterRecords mRecords;
-    private final GatheredSequences mSequences;
+    private final SequenceRelay mSequenceRelay;
 
-    /** Registrations received here since the other voters were last sent any. */
-    private final Map<String, Registration> mReceived = new HashMap<>();
+    /** Registrations received from upstreams since the last batch to the other voters. */
+    private final Map<String, Registration> mUnsent = new HashMap<>();
 
-    /** Keeps registrations of unknown services apart; null if all services count as known. */
+    /** Holds back registrations of unknown services; null if all services are accepted. */
     private ServiceGate mGate;
 
     private GroupState mCommitted = new GroupState(List.of(), 0, new byte[0]);
-    private boolean mWasInTouch;
-    private Replica.Role mWasRole = Replica.Role.FOLLOWER;
+    private boolean mHadQuorumContact;
+    private Replica.Role mLastRole = Replica.Role.FOLLOWER;
 
-    /** A state to be written, and the number by which the replica knows the write. */
+    /** A state to be written, and the number that identifies the write to the replica. */
     private record StateWrite(long number, DurableState state) {}
 
     private VoterNode(VoterConfig config, MonotonicClock clock) throws IOException {
         mClock = clock;
         StateFile file = StateFile.open(config.folder());
-        DurableState durable = file.read().orElseGet(() -> FirstState.of(config));
+        DurableState durable = file.read().orElseGet(() -> InitialState.of(config));
         mSelf = new Member(durable.self(), config.address().toString(), config.controlAddress());
         Greeting greeting =
                 new Greeting(PROTOCOL, config.node(), config.zone(), mSelf, Capability.own());
@@ -122,115 +123,117 @@
                         config.seeds().stream().map(VoterConfig.Seed::address).toList(),
                         handler);
         mRecords = new VoterRecords(config.node(), config.folder(), mLinks, clock);
-        mSequences = new GatheredSequences(mLinks, mTasks);
+        mSequenceRelay = new SequenceRelay(mLinks, mTasks);
         mServer = new LinkServer(config.address(), greeting, handler);
         mStages =
                 new StageController(
                         config.stages(),
                         config.node(),
                         new UpstreamPauses(clock),
-                        leaving -> mTasks.post(() -> leaves(leaving)));
+                        leaving -> mTasks.post(() -> onLeaving(leaving)));
         mQuota = new VoterQuota(mReplica, mSelf, config.firstStart(), clock.nanoTime());
         mTasks.every(TICK_MILLIS, this::tick);
-        mTasks.every(NOTICE_MILLIS, this::refresh);
+        mTasks.every(NOTICE_INTERVAL_MILLIS, this::runMaintenance);
         LOG.info(
-                "replica %s holds entry %s with table %d",
+                "replica %s starts at consensus entry %s with table %d",
                 mSelf.id(), durable.entry(), durable.state().tableVersion());
     }
 
     /**
      * Starts a voter.
      *
-     * @param config how it is set up
-     * @param clock the clock
+     * @param config the configuration
+     * @param clock the monotonic clock
      * @return the running voter
-     * @throws IOException if its folder cannot be read or its address not bound
+     * @throws IOException if the folder cannot be read or the address cannot be bound
      */
     public static VoterNode start(VoterConfig config, MonotonicClock clock) throws IOException {
         return new VoterNode(config, clock);
     }
 
-    // ---- operators
+    // ---- Operators
 
     /**
-     * Puts a table in force if its version is higher than that held.
+     * Commits a table if its version is higher than that of the newest one.
      *
-     * @param version its version
-     * @param document the checked table
-     * @return the answer, in time or not at all
+     * @param version the version of the table
+     * @param document the validated table document
+     * @return the reply; may never complete
      */
-    public CompletableFuture<TableAnswer> putTable(long version, byte[] document) {
-        return ask(
+    public CompletableFuture<TableReply> putTable(long version, byte[] document) {
+        return runOnLeader(
                 done -> {
                     GroupState newest = mReplica.state();
                     boolean same = version == newest.tableVersion();
                     if (version > newest.tableVersion()) {
-                        LOG.info("table %d replaces %d", version, newest.tableVersion());
+                        LOG.info(
+                                "proposing table %d to replace table %d",
+                                version, newest.tableVersion());
                         mReplica.propose(
                                 newest.withTable(version, document),
                                 committed -> done.accept(accepted(committed, version)));
                     } else if (same && !Arrays.equals(document, newest.tableDocument())) {
-                        done.accept(new TableAnswer.Conflict(version));
+                        done.accept(new TableReply.Conflict(version));
                     } else {
-                        mReplica.confirm(
+                        mReplica.confirmRead(
                                 confirmed ->
                                         done.accept(accepted(confirmed, newest.tableVersion())));
                     }
                 });
     }
 
-    private static TableAnswer accepted(boolean certain, long version) {
-        return certain ? new TableAnswer.Accepted(version) : new TableAnswer.Unavailable();
+    private static TableReply accepted(boolean certain, long version) {
+        return certain ? new TableReply.Accepted(version) : new TableReply.Unavailable();
     }
 
     /**
-     * Reads the newest table, confirmed by a quorum.
+     * Reads the committed table, confirmed by a quorum.
      *
-     * @return the answer, in time or not at all
+     * @return the reply; may never complete
      */
-    public CompletableFuture<TableAnswer> readTable() {
-        return ask(
+    public CompletableFuture<TableReply> readTable() {
+        return runOnLeader(
                 done ->
-                        mReplica.confirm(
+                        mReplica.confirmRead(
                                 confirmed ->
                                         done.accept(
                                                 confirmed
-                                                        ? new TableAnswer.Current(
+                                                        ? new TableReply.Current(
                                                                 mCommitted.tableVersion(),
                                                                 mCommitted.tableDocument())
-                                                        : new TableAnswer.Unavailable())));
+                                                        : new TableReply.Unavailable())));
     }
 
-    /** Runs a question on the leader, or names the leader. */
-    private CompletableFuture<TableAnswer> ask(Consumer<Consumer<TableAnswer>> question) {
-        CompletableFuture<TableAnswer> answer = new CompletableFuture<>();
+    /** Runs a request on the leader, or replies with the leader's address. */
+    private CompletableFuture<TableReply> runOnLeader(Consumer<Consumer<TableReply>> request) {
+        CompletableFuture<TableReply> answer = new CompletableFuture<>();
         mTasks.post(
                 () -> {
                     if (mReplica.role() == Replica.Role.LEADER) {
-                        question.accept(answer::complete);
+                        request.accept(answer::complete);
                         return;
                     }
                     Optional<Member> leader =
-                            mReplica.isInTouch() ? mReplica.leader() : Optional.empty();
+                            mReplica.hasQuorumContact() ? mReplica.leader() : Optional.empty();
                     answer.complete(
                             leader.map(Member::controlAddress)
-                                    .<TableAnswer>map(TableAnswer.AskLeader::new)
-                                    .orElseGet(TableAnswer.Unavailable::new));
+                                    .<TableReply>map(TableReply.NotLeader::new)
+                                    .orElseGet(TableReply.Unavailable::new));
                 });
         return answer;
     }
 
     /**
-     * Returns the voters, as far as this one knows them to be committed.
+     * Returns the committed voters as known to this one.
      *
-     * @return the voters, in time or not at all
+     * @return the voters; may never complete
      */
     public CompletableFuture<List<Member>> voters() {
-        return ask(() -> mCommitted.members());
+        return query(() -> mCommitted.members());
     }
 
     /**
-     * Looks for voters at more addresses from now on.
+     * Adds addresses at which to look for voters.
      *
      * @param seeds cluster addresses of some voters
      */
@@ -238,77 +241,77 @@
         mTasks.post(() -> seeds.forEach(mLinks::dial));
     }
 
-    // ---- crashes and limits of upstreams
+    // ---- Crash records and upstream limits
 
     /**
-     * Returns the requests that are not run, because upstreams have crashed under them.
+     * Returns the quarantined requests, under which upstreams have crashed.
      *
-     * @return their records, in time or not at all
+     * @return their records; may never complete
      */
     public CompletableFuture<List<CrashRecord>> quarantined() {
-        return ask(mRecords.crashes()::quarantined);
+        return query(mRecords.crashes()::quarantined);
     }
 
     /**
-     * Lets a quarantined request run again, at all instances.
+     * Lifts the quarantine of a request at all instances.
      *
-     * @param fingerprint the request
-     * @return true if it was quarantined
+     * @param fingerprint the fingerprint of the request
+     * @return true if the request was quarantined
      */
     public CompletableFuture<Boolean> liftQuarantine(RequestFingerprint fingerprint) {
-        return ask(() -> mRecords.crashes().lift(fingerprint));
+        return query(() -> mRecords.crashes().lift(fingerprint));
     }
 
     /**
-     * Returns the limits that upstreams state, as far as this voter knows them, and their use.
+     * Returns the rate limits that upstreams state, as known to this voter, with their use.
      *
-     * @return the limits in force, in time or not at all
+     * @return the limits in force; may never complete
      */
     public CompletableFuture<List<UpstreamLimitUse>> upstreamLimits() {
-        return ask(() -> mRecords.limits().uses(mQuota));
+        return query(() -> mRecords.limits().limitsWithUse(mQuota));
     }
 
-    /** Has the voter's own thread answer a question. */
-    private <T> CompletableFuture<T> ask(Supplier<T> question) {
+    /** Evaluates a query on the voter's thread. */
+    private <T> CompletableFuture<T> query(Supplier<T> query) {
         CompletableFuture<T> answer = new CompletableFuture<>();
-        mTasks.post(() -> answer.complete(question.get()));
+        mTasks.post(() -> answer.complete(query.get()));
         return answer;
     }
 
-    // ---- upstreams
+    // ---- Upstreams
 
     /**
-     * From now on holds no registration of a service that the table in force does not name.
+     * Holds back registrations of services that the table in force does not name.
      *
-     * @param parser reads the table
+     * @param parser the parser of table documents
      */
-    public void requireNamedServices(RouteTableParser parser) {
+    public void holdBackUnknownServices(RouteTableParser parser) {
         mTasks.post(
                 () -> {
                     mGate = new ServiceGate(parser);
-                    followServices(mGate, mCommitted);
+                    parseTable(mGate, mCommitted);
                 });
     }
 
-    /**
-     * Reads the table on another thread: the first takes some 0.3 s, longer than a leader's pause.
-     */
-    private void followServices(ServiceGate gate, GroupState state) {
+    /** Parses on another thread: the first takes some 0.3 s, longer than a leader's pause. */
+    private void parseTable(ServiceGate gate, GroupState state) {
         Thread.ofVirtual()
                 .name("services")
                 .start(
                         () ->
-                                gate.read(state)
+                                gate.parse(state)
                                         .ifPresent(
-                                                table -> mTasks.post(() -> follow(gate, table))));
+                                                table ->
+                                                        mTasks.post(
+                                                                () -> applyTable(gate, table))));
     }
 
-    private void follow(ServiceGate gate, RouteTable table) {
-        registerNamed(gate.follow(table));
+    private void applyTable(ServiceGate gate, RouteTable table) {
+        registerReleased(gate.apply(table));
     }
 
-    /** An upstream that is held goes on, also if the table has ceased to name its service. */
-    private boolean hasToWait(Registration registration) {
+    /** Registered upstreams stay accepted, even if the table no longer names their service. */
+    private boolean mustHoldBack(Registration registration) {
         if (mGate == null || mGate.isNamed(registration.service())) {
             return false;
         }
@@ -318,11 +321,11 @@
                 .isEmpty();
     }
 
-    /** Takes registrations that have waited, in one message, however many they are. */
-    private void registerNamed(List<Registration> named) {
+    /** Applies registrations that were held back and forwards them in one message. */
+    private void registerReleased(List<Registration> named) {
         List<Registration> changed = new ArrayList<>();
         for (Registration registration : named) {
-            hold(registration).ifPresent(changed::add);
+            apply(registration).ifPresent(changed::add);
         }
         if (!changed.isEmpty()) {
             forward(changed);
@@ -330,46 +333,47 @@
     }
 
     /**
-     * Takes what an upstream says of itself.
+     * Applies the registration of an upstream.
      *
      * @param registration the registration
-     * @return true once it is known where it must be, false if this voter may be cut off
+     * @return true once it is held where required, for a departure at a quorum; false if this voter
+     *     may be cut off
      */
     public CompletableFuture<Boolean> register(Registration registration) {
         CompletableFuture<Boolean> done = new CompletableFuture<>();
         mTasks.post(
                 () -> {
-                    if (hasToWait(registration)) {
-                        mGate.await(registration);
-                        done.complete(mReplica.isInTouch());
+                    if (mustHoldBack(registration)) {
+                        mGate.holdBack(registration);
+                        done.complete(mReplica.hasQuorumContact());
                         return;
                     }
-                    Optional<Registration> changed = hold(registration);
+                    Optional<Registration> changed = apply(registration);
                     if (isLeaving(registration)) {
                         replicateDeparture(
                                 mRegistry.find(registration.id()).orElse(registration), done);
                         return;
                     }
                     changed.ifPresent(this::forward);
-                    done.complete(mReplica.isInTouch());
+                    done.complete(mReplica.hasQuorumContact());
                 });
         return done;
     }
 
-    /** Returns the registration now held if it changed. */
-    private Optional<Registration> hold(Registration registration) {
+    /** Applies a registration; returns the registration now held if it changed. */
+    private Optional<Registration> apply(Registration registration) {
         long nowNanos = mClock.nanoTime();
         Optional<Registration> changed =
                 isLeaving(registration)
-                        ? mRegistry.depart(registration, nowNanos)
+                        ? mRegistry.mergeDeparture(registration, nowNanos)
                         : mRegistry.merge(registration, nowNanos);
         changed.ifPresent(VoterNode::logChange);
-        noteReceived(registration);
+        queueForVoters(registration);
         return changed;
     }
 
-    /** Takes what an engine has said in an answer to this voter. */
-    private void leaves(Registration leaving) {
+    /** Applies an engine's statement, in a response to this voter, that it onLeaving. */
+    private void onLeaving(Registration leaving) {
         mRegistry.merge(leaving, mClock.nanoTime()).ifPresent(this::forward);
     }
 
@@ -377,32 +381,35 @@
         return registration.state() != Registration.State.READY;
     }
 
-    /** A late message of an earlier start must not keep back one of the start that is held. */
-    private void noteReceived(Registration registration) {
-        boolean isOfTheOneHeld =
+    /**
+     * Queues a registration for the next batch, unless it is a late one of an earlier incarnation,
+     * which would replace that of the current one.
+     */
+    private void queueForVoters(Registration registration) {
+        boolean isCurrent =
                 mRegistry
                         .find(registration.id())
                         .filter(held -> held.incarnation().equals(registration.incarnation()))
                         .isPresent();
-        if (isOfTheOneHeld) {
-            mReceived.put(registration.id(), registration);
+        if (isCurrent) {
+            mUnsent.put(registration.id(), registration);
         }
     }
 
     /**
-     * Takes the word of an upstream that it leaves.
+     * Applies the departure of an upstream.
      *
-     * @param id its identity
-     * @return true once a quorum of the voters knows, false if this voter may be cut off
+     * @param id the identity of the upstream
+     * @return true once a quorum of the voters holds it; false if this voter may be cut off
      */
-    public CompletableFuture<Boolean> leave(String id) {
+    public CompletableFuture<Boolean> deregister(String id) {
         CompletableFuture<Boolean> done = new CompletableFuture<>();
         mTasks.post(
                 () -> {
                     if (mGate != null) {
-                        mGate.leave(id);
+                        mGate.remove(id);
                     }
-                    Registration gone = mRegistry.leave(id, mClock.nanoTime());
+                    Registration gone = mRegistry.markDeparted(id, mClock.nanoTime());
                     logChange(gone);
                     replicateDeparture(gone, done);
                 });
@@ -410,16 +417,16 @@
     }
 
     private void replicateDeparture(Registration leaving, CompletableFuture<Boolean> done) {
-        if (!mReplica.isInTouch()) {
+        if (!mReplica.hasQuorumContact()) {
             forward(leaving);
             done.complete(false);
             return;
         }
         long number = mDepartures.begin(done);
-        done.whenComplete((held, error) -> mTasks.post(() -> mDepartures.end(number)));
+        done.whenComplete((held, error) -> mTasks.post(() -> mDepartures.remove(number)));
         mLinks.sendToVoters(new Registrations(number, List.of(leaving)));
-        // Without a start it ends what an entry knows only if it was just received.
-        long entryNumber = leaving.incarnation().isStartStated() ? 0 : number;
+        // Without a start time, an entry applies a departure only if it is sent as just received.
+        long entryNumber = leaving.incarnation().isStartKnown() ? 0 : number;
         mLinks.sendToEntries(new Registrations(entryNumber, List.of(leaving)));
         mDepartures.complete(number, mReplica.state().quorum());
     }
@@ -436,7 +443,7 @@
 
     private static void logChange(Registration changed) {
         LOG.info(
-                "upstream %s of %s at %s is %s, stage %s, sequence %d",
+                "upstream %s of service %s at %s is %s, stage %s, sequence %d",
                 changed.id(),
                 changed.service(),
                 changed.address(),
@@ -445,7 +452,7 @@
                 changed.sequence());
     }
 
-    // ---- links
+    // ---- Links
 
     private void onMessage(Link link, ClusterMessage message) {
         if (message instanceof Greeting greeting) {
@@ -459,15 +466,15 @@
         if (message instanceof Replication replication) {
             onReplication(replication);
         } else if (message instanceof InFlightSequences announced) {
-            mSequences.add(announced);
-        } else if (message instanceof QuotaRequest request) {
-            onQuotaRequest(link, request);
+            mSequenceRelay.add(announced);
+        } else if (message instanceof QuotaRequestMessage quotaRequest) {
+            onQuotaRequest(link, quotaRequest);
         } else if (message instanceof QuotaReturn units) {
-            mQuota.giveBack(units, mClock.nanoTime());
+            mQuota.refund(units, mClock.nanoTime());
         } else if (message instanceof Registrations registrations) {
             onRegistrations(link, registrations);
-        } else if (message instanceof RegistrationsHeld held) {
-            onRegistrationsHeld(link, held);
+        } else if (message instanceof RegistrationsAck held) {
+            onRegistrationsAck(link, held);
         } else if (message instanceof TableRequest) {
             link.send(new TableDocument(mCommitted.tableVersion(), mCommitted.tableDocument()));
         } else if (message instanceof Voters voters) {
@@ -477,21 +484,21 @@
         }
     }
 
-    /** The replica looks at the clock first: after a pause of this process others may lead. */
-    private void onQuotaRequest(Link link, QuotaRequest request) {
+    /** Ticks the replica first: if this process was suspended, another voter may lead by now. */
+    private void onQuotaRequest(Link link, QuotaRequestMessage message) {
         long nowNanos = mClock.nanoTime();
         mReplica.tick(nowNanos);
-        link.send(mQuota.answer(request, nowNanos));
+        link.send(mQuota.answer(message, nowNanos));
     }
 
-    private void onRegistrationsHeld(Link link, RegistrationsHeld held) {
+    private void onRegistrationsAck(Link link, RegistrationsAck held) {
         Optional<HostPort> sender = mLinks.voterAddress(link);
         if (sender.isPresent() && isMember(sender.get())) {
-            mDepartures.held(held.number(), sender.get(), mReplica.state().quorum());
+            mDepartures.acknowledge(held.number(), sender.get(), mReplica.state().quorum());
         }
     }
 
-    /** A replica that does not vote yet, or no longer, is linked too. */
+    /** Returns whether an address is a voter's; non-voting replicas are linked too. */
     private boolean isMember(HostPort address) {
         return mReplica.state().members().stream()
                 .anyMatch(member -> HostPort.parse(member.address()).equals(address));
@@ -500,13 +507,13 @@
     private void onGreeting(Link link, Greeting greeting) {
         if (greeting.protocol() != PROTOCOL) {
             LOG.warn(
-                    "%s speaks protocol %d; its link is closed",
+                    "closing the link to %s: unsupported protocol version %d",
                     greeting.node(), greeting.protocol());
             link.close();
             return;
         }
-        // An entry must know what it must not run or send before it has a table to serve by.
-        mRecords.greet(link, greeting);
+        // An entry must have quarantines and limits before a table that it serves from.
+        mRecords.sendAllTo(link, greeting);
         if (greeting.voter() == null) {
             mLinks.entryGreeted(link, greeting);
             link.send(new Voters(knownVoters()));
@@ -518,26 +525,26 @@
         }
         link.send(new Registrations(0, mRegistry.all()));
         if (greeting.voter() == null) {
-            repeatDepartures(link);
+            resendDepartures(link);
         }
     }
 
     /**
-     * Tells an entry that was away of the departures of which no start is known. While this voter
-     * is in touch with a quorum, an upstream that has started again since is known to it, so that
-     * its departure is not among them.
+     * Sends an entry that was disconnected the departures without a known start time. Done only in
+     * contact with a quorum: this voter then knows of upstreams that have restarted since, and
+     * their departures are not among these.
      */
-    private void repeatDepartures(Link entry) {
-        List<Registration> departures = mRegistry.departuresWithoutStart();
-        if (mReplica.isInTouch() && !departures.isEmpty()) {
-            entry.send(new Registrations(PendingDepartures.NONE, departures));
+    private void resendDepartures(Link entry) {
+        List<Registration> departures = mRegistry.departuresWithoutStartTime();
+        if (mReplica.hasQuorumContact() && !departures.isEmpty()) {
+            entry.send(new Registrations(PendingDepartures.UNTRACKED, departures));
         }
     }
 
     private void onReplication(Replication replication) {
         learn(replication.sender());
         mReplica.receive(replication.message(), replication.sender(), mClock.nanoTime());
-        noteRole();
+        logRoleChange();
     }
 
     private void learn(Member member) {
@@ -559,29 +566,30 @@
         for (Registration registration : registrations.registrations()) {
             Optional<Registration> changed =
                     registrations.isDeparture()
-                            ? mRegistry.depart(registration, nowNanos)
+                            ? mRegistry.mergeDeparture(registration, nowNanos)
                             : mRegistry.merge(registration, nowNanos);
             changed.ifPresent(this::forward);
         }
         if (registrations.isDeparture()) {
-            link.send(new RegistrationsHeld(registrations.number()));
+            link.send(new RegistrationsAck(registrations.number()));
         }
     }
 
     private TableNotice notice() {
-        return new TableNotice(mCommitted.tableVersion(), mReplica.isInTouch(), mLinks.entries());
+        return new TableNotice(
+                mCommitted.tableVersion(), mReplica.hasQuorumContact(), mLinks.entries());
     }
 
-    // ---- time
+    // ---- Periodic tasks
 
     private void tick() {
         mReplica.tick(mClock.nanoTime());
         mQuota.tick(mClock.nanoTime());
-        noteRole();
+        logRoleChange();
         orderStages();
-        if (mWasInTouch != mReplica.isInTouch()) {
-            mWasInTouch = mReplica.isInTouch();
-            LOG.info("quorum %s", mWasInTouch ? "regained" : "lost");
+        if (mHadQuorumContact != mReplica.hasQuorumContact()) {
+            mHadQuorumContact = mReplica.hasQuorumContact();
+            LOG.info("quorum %s", mHadQuorumContact ? "regained" : "lost");
             mLinks.sendToEntries(notice());
         }
     }
@@ -591,12 +599,12 @@
         long term = mReplica.holdsQuorum() ? mReplica.term() : -1;
         long countedNanos = nowNanos - mStages.countedWithin().toNanos();
         long expectedNanos = nowNanos - mStages.expectedWithin().toNanos();
-        List<Registration> current = mRegistry.heardBetween(countedNanos, nowNanos + 1);
-        List<Registration> silent = mRegistry.heardBetween(expectedNanos, countedNanos);
+        List<Registration> current = mRegistry.receivedBetween(countedNanos, nowNanos + 1);
+        List<Registration> silent = mRegistry.receivedBetween(expectedNanos, countedNanos);
         mStages.tick(term, current, silent, () -> stillLeads(term), nowNanos);
     }
 
-    /** Tells, from another thread, whether this voter leads a quorum in a term. */
+    /** Returns, on another thread, whether this voter leads a quorum in a term. */
     private boolean stillLeads(long term) {
         CompletableFuture<Boolean> leads = new CompletableFuture<>();
         mTasks.post(
@@ -607,23 +615,23 @@
         return leads.completeOnTimeout(false, TICK_MILLIS, TimeUnit.MILLISECONDS).join();
     }
 
-    private void noteRole() {
-        if (mWasRole != mReplica.role()) {
-            mWasRole = mReplica.role();
-            LOG.info("role %s in term %d", mWasRole, mReplica.term());
+    private void logRoleChange() {
+        if (mLastRole != mReplica.role()) {
+            mLastRole = mReplica.role();
+            LOG.info("role %s in term %d", mLastRole, mReplica.term());
         }
     }
 
-    private void refresh() {
+    private void runMaintenance() {
         long nowNanos = mClock.nanoTime();
-        mLinks.forgetOld(mReplica.state().members(), nowNanos);
-        mRegistry.forgetOld(nowNanos);
+        mLinks.forgetSilentPeers(mReplica.state().members(), nowNanos);
+        mRegistry.removeExpired(nowNanos);
         mRecords.forgetEnded(mRegistry);
         mQuota.logUses();
         mLinks.sendToEntries(notice());
-        if (!mReceived.isEmpty()) {
-            mLinks.sendToVoters(new Registrations(0, List.copyOf(mReceived.values())));
-            mReceived.clear();
+        if (!mUnsent.isEmpty()) {
+            mLinks.sendToVoters(new Registrations(0, List.copyOf(mUnsent.values())));
+            mUnsent.clear();
         }
     }
 
@@ -677,14 +685,14 @@
             boolean voters = !state.members().equals(mCommitted.members());
             mCommitted = state;
             if (changed) {
-                LOG.info("table %d is committed at %s", state.tableVersion(), entry);
+                LOG.info("table %d committed as consensus entry %s", state.tableVersion(), entry);
                 mLinks.sendToEntries(notice());
                 if (mGate != null) {
-                    followServices(mGate, state);
+                    parseTable(mGate, state);
                 }
             }
             if (voters) {
-                LOG.info("voters are %s", state.members());
+                LOG.info("voters are now %s", state.members());
                 state.members().forEach(VoterNode.this::learn);
             }
         }
--- a/org.orchidmount/src/main/java/org/orchidmount/consensus/Replica.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/consensus/Replica.java
@@ -16,18 +16,18 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
+import org.orchidmount.consensus.ReplicaMessage.Announce;
 import org.orchidmount.consensus.ReplicaMessage.Append;
 import org.orchidmount.consensus.ReplicaMessage.AppendReply;
-import org.orchidmount.consensus.ReplicaMessage.Hello;
 import org.orchidmount.consensus.ReplicaMessage.VoteReply;
 import org.orchidmount.consensus.ReplicaMessage.VoteRequest;
 
 /**
- * One replica of the group, without I/O, threads or a clock of its own.
+ * The consensus state machine of one replica. It does no I/O, starts no threads and reads no clock.
  *
- * <p>Invariants: nothing that promises durability is sent before the state it speaks of is synced;
- * a replica votes at most once in a term; a leader commits only states of its own term; the state
- * held only moves forward in the order of {@link EntryId}. Confined to one thread.
+ * <p>Invariants: a message that depends on a durable write is sent only after that write is synced;
+ * a replica votes at most once per term; a leader commits only entries of its own term; the held
+ * entry only advances in the order of {@link EntryId}. Confined to one thread.
  */
 public final class Replica {
     private final Member mSelf;
@@ -52,35 +52,35 @@
     private boolean mHasSeenLeader;
     private long mLeaderHeardNanos;
     private long mElectionAtNanos;
-    private long mStoodNanos;
+    private long mPreVoteNanos;
     private long mHeartbeatAtNanos;
     private long mWritingSinceNanos;
     private long mLeadingSinceNanos;
     private long mRound;
 
-    /** What a replica does in the group. */
+    /** The role of a replica in its group. */
     public enum Role {
-        /** Takes its state from a leader. */
+        /** Replicates the entries of a leader. */
         FOLLOWER,
-        /** Asks whether it would be elected. */
+        /** Runs a pre-vote: asks whether it would win an election, without raising its term. */
         TRIAL,
-        /** Asks for votes. */
+        /** Requests votes for its term. */
         CANDIDATE,
-        /** Makes the states of its term. */
+        /** Appends and replicates the entries of its term. */
         LEADER
     }
 
     private record Deferred(long write, Member to, ReplicaMessage message) {}
 
     /**
-     * Creates a replica that follows.
+     * Creates a replica in the follower role.
      *
-     * @param self the replica; its identity is that of the durable state
-     * @param durable what its disk holds
-     * @param targetVoters how many voters the group grows to
-     * @param timing the time-outs
-     * @param random spreads elections
-     * @param effects sends and writes
+     * @param self this replica; its identity must match the durable state
+     * @param durable the state recovered from disk
+     * @param targetVoters the number of voters the group grows to
+     * @param timing the group's time-outs
+     * @param random the source of randomized election time-outs
+     * @param effects the network and disk operations
      * @param nowNanos the monotonic time
      */
     public Replica(
@@ -101,33 +101,33 @@
         mNowNanos = nowNanos;
         mStartNanos = nowNanos;
         mLeaderHeardNanos = nowNanos - timing.election().toNanos();
-        planElection();
+        resetElectionTimer();
         if (!isVoter()) {
             mElectionAtNanos = nowNanos;
         }
     }
 
     /**
-     * Tells whether this replica is a voter in the newest state it holds.
+     * Returns whether this replica is a voter in the newest state it holds, committed or not.
      *
-     * @return true if it votes
+     * @return true if it is a voter
      */
     public boolean isVoter() {
         return state().member(mSelf.id()).isPresent();
     }
 
     /**
-     * Tells whether this replica is in touch with a quorum: it leads one or hears its leader.
+     * Returns whether this replica leads a quorum or has a live leader.
      *
-     * @return false if it may be cut off
+     * @return false if it may be partitioned from the group
      */
-    public boolean isInTouch() {
+    public boolean hasQuorumContact() {
         boolean follows = mRole == Role.FOLLOWER && mLeader != null && hasLiveLeader();
         return mRole == Role.LEADER ? holdsQuorum() : follows;
     }
 
     /**
-     * Returns what the replica does now.
+     * Returns the current role.
      *
      * @return the role
      */
@@ -136,16 +136,16 @@
     }
 
     /**
-     * Returns the leader, if one has sent a message lately.
+     * Returns the leader of the current term, as far as it is known.
      *
-     * @return the leader, maybe this replica
+     * @return the leader, possibly this replica; empty from the next election time-out on
      */
     public Optional<Member> leader() {
         return Optional.ofNullable(mLeader);
     }
 
     /**
-     * Returns the newest state held, committed or not.
+     * Returns the newest state held, whether committed or not.
      *
      * @return the state
      */
@@ -154,9 +154,9 @@
     }
 
     /**
-     * Returns the place of the newest state held.
+     * Returns the id of the newest entry held, whether committed or not.
      *
-     * @return the place
+     * @return the entry id
      */
     public EntryId entry() {
         return mState.entry();
@@ -172,25 +172,25 @@
     }
 
     /**
-     * Returns the place up to which states are known to be committed.
+     * Returns the id of the newest entry known to be committed.
      *
-     * @return the place
+     * @return the entry id, {@link EntryId#NONE} if none is known
      */
     public EntryId committed() {
         return mCommitted;
     }
 
     /**
-     * Tells whether a quorum of the voters has answered this leader within an election time-out.
+     * Returns whether a quorum of voters has answered this leader within the election time-out.
      *
-     * @return false if this replica does not lead or may have been replaced
+     * @return false if this replica is not the leader or may have been superseded
      */
     public boolean holdsQuorum() {
-        return mRole == Role.LEADER && heardVoters() >= state().quorum();
+        return mRole == Role.LEADER && liveVoters() >= state().quorum();
     }
 
     /**
-     * Lets time pass: sends heartbeats, stands for election, replaces voters that are gone.
+     * Runs the actions that are due: heartbeats, elections, stepping down and membership changes.
      *
      * @param nowNanos the monotonic time
      */
@@ -199,7 +199,7 @@
         if (mRole == Role.LEADER) {
             tickLeader();
         } else if (mNowNanos - mElectionAtNanos >= 0) {
-            standForElection();
+            startElection();
         }
     }
 
@@ -207,34 +207,34 @@
         boolean diskStalled =
                 mSynced < mWrites && mNowNanos - mWritingSinceNanos > mTiming.diskStall().toNanos();
         boolean settled = mNowNanos - mLeadingSinceNanos > mTiming.election().toNanos();
-        if (diskStalled || (settled && heardVoters() < state().quorum())) {
-            follow(mState.term(), null);
+        if (diskStalled || (settled && liveVoters() < state().quorum())) {
+            becomeFollower(mState.term(), null);
             return;
         }
-        reviseMembers();
+        updateMembers();
         if (mNowNanos - mHeartbeatAtNanos >= 0) {
             broadcast();
         }
     }
 
-    private int heardVoters() {
+    private int liveVoters() {
         int answered = 0;
         for (Member member : state().members()) {
-            if (member.id().equals(mSelf.id()) || isHeard(member.id(), mTiming.election())) {
+            if (member.id().equals(mSelf.id()) || isLive(member.id(), mTiming.election())) {
                 answered++;
             }
         }
         return answered;
     }
 
-    private boolean isHeard(String id, Duration within) {
+    private boolean isLive(String id, Duration within) {
         PeerProgress peer = mPeers.get(id);
-        return peer != null && mNowNanos - peer.mHeardNanos <= within.toNanos();
+        return peer != null && mNowNanos - peer.mLastReplyNanos <= within.toNanos();
     }
 
     // ---- elections
 
-    private void planElection() {
+    private void resetElectionTimer() {
         if (isStarting()) {
             long shortest = mTiming.firstElection().toNanos();
             mElectionAtNanos = mNowNanos + shortest + mRandom.nextLong(2 * shortest);
@@ -245,28 +245,29 @@
     }
 
     /**
-     * Tells whether this replica has just started and has seen no leader. It then stands early: a
-     * group that has lost all processes has a leader some 0.7 s sooner, and the trial keeps it from
-     * disturbing a group that has one. After a while without a leader it stands as rarely as any.
+     * Returns whether this replica has just started and has seen no leader. It then uses the
+     * shorter first election time-out, so that a group restarted as a whole elects a leader about
+     * 0.7 s sooner; the pre-vote keeps it from disrupting a group that has a leader. After two
+     * election time-outs without a leader it falls back to the regular time-out.
      */
     private boolean isStarting() {
         long startingNanos = 2 * mTiming.election().toNanos();
         return !mHasSeenLeader && mNowNanos - mStartNanos < startingNanos;
     }
 
-    private void standForElection() {
-        planElection();
+    private void startElection() {
+        resetElectionTimer();
         mLeader = null;
         mRole = Role.FOLLOWER;
-        mEffects.announce(new Hello(mState.term(), mSelf, mDurable));
+        mEffects.announce(new Announce(mState.term(), mSelf, mDurable));
         if (!isVoter() || mSynced < mWrites) {
             return;
         }
         mRole = Role.TRIAL;
-        mStoodNanos = mNowNanos;
+        mPreVoteNanos = mNowNanos;
         mVotes.clear();
         mVotes.add(mSelf.id());
-        askForVotes(mState.term() + 1, true);
+        requestVotes(mState.term() + 1, true);
         if (mVotes.size() >= state().quorum()) {
             becomeCandidate();
         }
@@ -276,17 +277,18 @@
         mRole = Role.CANDIDATE;
         mVotes.clear();
         long write = persist(mState.withVote(mState.term() + 1, mSelf.id()));
-        planElection();
+        resetElectionTimer();
         VoteRequest request = new VoteRequest(mState.term(), mSelf.id(), mState.entry(), false);
         for (Member member : others()) {
             defer(write, member, request);
         }
-        // The own vote counts once it is synced, which this message to itself tells.
+        // The vote for itself counts only once it is synced, so it is deferred like any other
+        // reply.
         defer(write, mSelf, new VoteReply(mState.term(), mSelf.id(), true, false));
     }
 
-    private void askForVotes(long term, boolean trial) {
-        VoteRequest request = new VoteRequest(term, mSelf.id(), mState.entry(), trial);
+    private void requestVotes(long term, boolean preVote) {
+        VoteRequest request = new VoteRequest(term, mSelf.id(), mState.entry(), preVote);
         others().forEach(member -> mEffects.send(member, request));
     }
 
@@ -297,23 +299,23 @@
     }
 
     /**
-     * Takes a message.
+     * Handles a message from a replica.
      *
      * @param message the message
-     * @param sender where answers go
+     * @param sender the replica to which replies are sent
      * @param nowNanos the monotonic time
      */
     public void receive(ReplicaMessage message, Member sender, long nowNanos) {
         mNowNanos = nowNanos;
-        boolean trial =
-                message instanceof VoteRequest request && request.trial()
-                        || message instanceof VoteReply reply && reply.trial() && reply.granted();
-        if (message.term() > mState.term() && !trial && !(message instanceof Hello)) {
+        boolean preVote =
+                message instanceof VoteRequest request && request.preVote()
+                        || message instanceof VoteReply reply && reply.preVote() && reply.granted();
+        if (message.term() > mState.term() && !preVote && !(message instanceof Announce)) {
             if (message instanceof VoteRequest && hasLiveLeader()) {
                 return;
             }
             persist(mState.withVote(message.term(), ""));
-            follow(message.term(), null);
+            becomeFollower(message.term(), null);
         }
         if (message instanceof Append append) {
             onAppend(append);
@@ -323,8 +325,8 @@
             onVoteRequest(request, sender);
         } else if (message instanceof VoteReply reply) {
             onVoteReply(reply);
-        } else if (message instanceof Hello hello) {
-            onHello(hello);
+        } else if (message instanceof Announce announce) {
+            onAnnounce(announce);
         }
     }
 
@@ -333,15 +335,15 @@
     }
 
     private void onVoteRequest(VoteRequest request, Member sender) {
-        boolean current = request.newest().reaches(mState.entry());
-        if (request.trial()) {
-            answerTrial(request, current, sender);
+        boolean current = request.newest().isAtLeast(mState.entry());
+        if (request.preVote()) {
+            onPreVoteRequest(request, current, sender);
             return;
         }
         boolean free = mState.votedFor().isEmpty() || mState.votedFor().equals(request.from());
         boolean granted = request.term() == mState.term() && current && free;
         if (granted) {
-            planElection();
+            resetElectionTimer();
             if (mState.votedFor().isEmpty()) {
                 persist(mState.withVote(mState.term(), request.from()));
             }
@@ -349,7 +351,7 @@
         defer(mWrites, sender, new VoteReply(mState.term(), mSelf.id(), granted, false));
     }
 
-    private void answerTrial(VoteRequest request, boolean current, Member sender) {
+    private void onPreVoteRequest(VoteRequest request, boolean current, Member sender) {
         boolean granted =
                 request.term() > mState.term()
                         && current
@@ -363,17 +365,17 @@
     }
 
     /**
-     * Tells whether this replica has just asked for a trial vote itself and goes before another
-     * that did so at the same moment: the lower identity, unless the other holds a newer state. Two
-     * that both went on to ask for votes would each keep the other from a quorum where every
-     * replica that is left is needed. The precedence ends soon, so that a replica which the others
-     * cannot hear does not hold them up: of 16,000 simulated schedules 2 were left without a leader
-     * until further disks failed, and none with it.
+     * Returns whether this replica is running a pre-vote itself and takes precedence over a
+     * concurrent one: the lower identity wins, unless the other replica holds a newer entry. If
+     * both became candidates, each would deny the other a quorum where every remaining replica is
+     * needed. The precedence expires after one election time-out, so that a replica whose messages
+     * do not get through cannot block the others. Of 16,000 simulated schedules, 2 had no leader
+     * until further disks failed without this rule, and none with it.
      */
     private boolean hasPrecedence(VoteRequest request) {
         boolean stands =
-                mRole == Role.TRIAL && mNowNanos - mStoodNanos < mTiming.election().toNanos();
-        boolean isNewer = !mState.entry().reaches(request.newest());
+                mRole == Role.TRIAL && mNowNanos - mPreVoteNanos < mTiming.election().toNanos();
+        boolean isNewer = !mState.entry().isAtLeast(request.newest());
         return stands && !isNewer && mSelf.id().compareTo(request.from()) < 0;
     }
 
@@ -382,7 +384,7 @@
             return;
         }
         boolean expected =
-                reply.trial()
+                reply.preVote()
                         ? mRole == Role.TRIAL && reply.term() == mState.term() + 1
                         : mRole == Role.CANDIDATE && reply.term() == mState.term();
         if (!expected || state().member(reply.from()).isEmpty()) {
@@ -392,7 +394,7 @@
         if (mVotes.size() < state().quorum()) {
             return;
         }
-        if (reply.trial()) {
+        if (reply.preVote()) {
             becomeCandidate();
         } else {
             becomeLeader();
@@ -405,16 +407,16 @@
         mLeader = mSelf;
         mPeers.clear();
         mLeadingSinceNanos = mNowNanos;
-        // A state of the own term, so that what earlier leaders left can be committed.
+        // Entries of earlier terms can only be committed through an entry of the current term.
         append(state());
     }
 
-    private void follow(long term, Member leader) {
+    private void becomeFollower(long term, Member leader) {
         boolean led = mRole == Role.LEADER;
         mRole = Role.FOLLOWER;
         mLeader = leader;
         if (led) {
-            planElection();
+            resetElectionTimer();
             mCommitWaiters.fail();
             mReadWaiters.fail();
         }
@@ -423,10 +425,10 @@
     // ---- replication
 
     /**
-     * Makes a new state, if this replica leads.
+     * Proposes a new state if this replica is the leader.
      *
-     * @param state the state
-     * @param done called with true once the state is committed, false if that is not known
+     * @param state the state to replicate
+     * @param done called with true once the state is committed, false if that is unknown
      */
     public void propose(GroupState state, Consumer<Boolean> done) {
         if (mRole != Role.LEADER) {
@@ -439,12 +441,13 @@
     }
 
     /**
-     * Waits for the newest state held to be committed and for this replica to be confirmed as the
-     * leader by a quorum after this call.
+     * Confirms that the newest entry held may serve a linearizable read: waits until it is
+     * committed and a quorum has acknowledged this leader in a heartbeat round begun after this
+     * call.
      *
-     * @param done called with true once both hold, false if this replica does not lead
+     * @param done called with true once both hold, with false if this replica does not lead
      */
-    public void confirm(Consumer<Boolean> done) {
+    public void confirmRead(Consumer<Boolean> done) {
         if (mRole != Role.LEADER) {
             done.accept(false);
             return;
@@ -456,7 +459,7 @@
                 confirmed -> {
                     if (!confirmed) {
                         done.accept(false);
-                    } else if (mCommitted.reaches(newest)) {
+                    } else if (mCommitted.isAtLeast(newest)) {
                         done.accept(true);
                     } else {
                         mCommitWaiters.add(newest, done);
@@ -479,12 +482,12 @@
             PeerProgress peer = mPeers.computeIfAbsent(member.id(), id -> new PeerProgress());
             peer.mMember = member;
         }
-        long forgetNanos = 4 * mTiming.memberGone().toNanos();
+        long forgetNanos = 4 * mTiming.memberTimeout().toNanos();
         mPeers.values()
                 .removeIf(
                         peer ->
                                 state().member(peer.mMember.id()).isEmpty()
-                                        && mNowNanos - peer.mHeardNanos > forgetNanos);
+                                        && mNowNanos - peer.mLastReplyNanos > forgetNanos);
         mPeers.values().forEach(this::sendAppend);
     }
 
@@ -516,14 +519,14 @@
         }
         mLeaderHeardNanos = mNowNanos;
         mHasSeenLeader = true;
-        planElection();
-        follow(append.term(), append.leader());
+        resetElectionTimer();
+        becomeFollower(append.term(), append.leader());
         if (append.state() != null && append.entry().compareTo(mState.entry()) > 0) {
             persist(mState.withEntry(append.entry(), append.state()));
         }
-        // Only states of the same leader are known to lead up to the committed one.
+        // An uncommitted entry of another term may conflict with the committed one.
         boolean sameLeader = append.committed().term() == mState.entry().term();
-        if (sameLeader && append.committed().reaches(mState.entry())) {
+        if (sameLeader && append.committed().isAtLeast(mState.entry())) {
             markCommitted(mState.entry());
         }
         boolean holds = mState.entry().equals(append.entry());
@@ -534,7 +537,7 @@
         }
     }
 
-    /** Answers with what is on the disk; a deferred answer is made anew when it is sent. */
+    /** Returns a reply with the durable entry; deferred replies are rebuilt on sending. */
     private AppendReply reply(long round) {
         return new AppendReply(mState.term(), mSelf.id(), mDurable, round);
     }
@@ -543,12 +546,12 @@
         if (mRole != Role.LEADER || reply.term() != mState.term()) {
             return;
         }
-        // A replica that lost its disk answers at its address under an identity not known before.
+        // A replica that lost its disk replies from the same address under a new identity.
         PeerProgress peer = mPeers.computeIfAbsent(reply.from(), id -> new PeerProgress());
         peer.mMember = sender;
-        peer.mHeardNanos = mNowNanos;
-        peer.mRound = Math.max(peer.mRound, reply.round());
-        if (reply.durable().reaches(peer.mDurable)) {
+        peer.mLastReplyNanos = mNowNanos;
+        peer.mAckedRound = Math.max(peer.mAckedRound, reply.round());
+        if (reply.durable().isAtLeast(peer.mDurable)) {
             peer.mDurable = reply.durable();
         }
         if (!peer.mDurable.equals(mState.entry()) && !peer.mSent.equals(mState.entry())) {
@@ -558,23 +561,24 @@
         confirmReads();
     }
 
-    private void onHello(Hello hello) {
+    private void onAnnounce(Announce announce) {
         if (mRole != Role.LEADER) {
             return;
         }
-        PeerProgress peer = mPeers.computeIfAbsent(hello.from(), id -> new PeerProgress());
-        peer.mMember = hello.member();
-        if (hello.term() > mState.term()) {
-            // A replica whose term ran ahead refuses this leader until a later term begins.
-            persist(mState.withVote(hello.term(), ""));
-            follow(hello.term(), null);
+        PeerProgress peer = mPeers.computeIfAbsent(announce.from(), id -> new PeerProgress());
+        peer.mMember = announce.member();
+        if (announce.term() > mState.term()) {
+            // A replica with a higher term rejects this leader, so step down to force a new
+            // election.
+            persist(mState.withVote(announce.term(), ""));
+            becomeFollower(announce.term(), null);
             return;
         }
         sendAppend(peer);
     }
 
     private void commit() {
-        if (mRole != Role.LEADER || mCommitted.reaches(mState.entry())) {
+        if (mRole != Role.LEADER || mCommitted.isAtLeast(mState.entry())) {
             return;
         }
         int holders = 0;
@@ -593,17 +597,17 @@
     }
 
     private void markCommitted(EntryId entry) {
-        if (mCommitted.reaches(entry)) {
+        if (mCommitted.isAtLeast(entry)) {
             return;
         }
         mCommitted = entry;
         mEffects.committed(entry, state());
-        mCommitWaiters.release(entry::reaches);
+        mCommitWaiters.complete(entry::isAtLeast);
     }
 
     private void confirmReads() {
         if (mRole == Role.LEADER) {
-            mReadWaiters.release(round -> votersAtRound(round) >= state().quorum());
+            mReadWaiters.complete(round -> votersAtRound(round) >= state().quorum());
         }
     }
 
@@ -611,7 +615,7 @@
         int voters = 0;
         for (Member member : state().members()) {
             PeerProgress peer = mPeers.get(member.id());
-            if (member.id().equals(mSelf.id()) || peer != null && peer.mRound >= round) {
+            if (member.id().equals(mSelf.id()) || peer != null && peer.mAckedRound >= round) {
                 voters++;
             }
         }
@@ -620,26 +624,26 @@
 
     // ---- voters
 
-    /** Changes one voter at a time, and only once the state before is committed. */
-    private void reviseMembers() {
+    /** Changes one voter at a time, and only while the newest entry is committed. */
+    private void updateMembers() {
         if (!mCommitted.equals(mState.entry())) {
             return;
         }
-        boolean settled = mNowNanos - mLeadingSinceNanos > mTiming.memberGone().toNanos();
+        boolean settled = mNowNanos - mLeadingSinceNanos > mTiming.memberTimeout().toNanos();
         int quorumWithout = (state().members().size() - 1) / 2 + 1;
-        boolean mayRemove = settled && heardVoters() >= quorumWithout;
+        boolean mayRemove = settled && liveVoters() >= quorumWithout;
         new VoterPlan(state(), mTargetVoters, mSelf)
                 .next(
-                        mPeers.values().stream().filter(this::isWaiting).toList(),
-                        member -> mayRemove && !isHeard(member.id(), mTiming.memberGone()))
+                        mPeers.values().stream().filter(this::isPromotable).toList(),
+                        member -> mayRemove && !isLive(member.id(), mTiming.memberTimeout()))
                 .ifPresent(members -> append(state().withMembers(members)));
     }
 
-    /** Tells whether a replica is no voter, but holds all that a voter must. */
-    private boolean isWaiting(PeerProgress peer) {
+    /** Returns whether a replica is a non-voter that is live and holds the newest entry durably. */
+    private boolean isPromotable(PeerProgress peer) {
         return state().member(peer.mMember.id()).isEmpty()
                 && peer.mDurable.equals(mState.entry())
-                && isHeard(peer.mMember.id(), mTiming.election());
+                && isLive(peer.mMember.id(), mTiming.election());
     }
 
     // ---- disk
@@ -674,17 +678,17 @@
     }
 
     /**
-     * Tells that a state was synced.
+     * Handles the completion of a durable write.
      *
-     * @param number the number of the write; earlier ones need no call of their own
-     * @param entry the place of the state that was written
+     * @param number the number of the write; implies that all earlier writes are complete
+     * @param entry the id of the entry that was written
      * @param nowNanos the monotonic time
      */
     public void persisted(long number, EntryId entry, long nowNanos) {
         mNowNanos = nowNanos;
         mSynced = Math.max(mSynced, number);
         mWritingSinceNanos = nowNanos;
-        if (entry.reaches(mDurable)) {
+        if (entry.isAtLeast(mDurable)) {
             mDurable = entry;
         }
         while (!mDeferred.isEmpty() && mDeferred.peekFirst().write() <= mSynced) {
--- a/org.orchidmount/src/main/java/org/orchidmount/consensus/VoterPlan.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/consensus/VoterPlan.java
@@ -11,12 +11,12 @@
 import java.util.function.Predicate;
 
 /**
- * Decides the next change of the voters. Pure.
+ * Computes the next membership change. Has no side effects.
  *
- * <p>Invariants: one voter is added, removed or replaced at a time. A voter is replaced in one step
- * only by a replica at its own address: its identity went with its disk, so it never votes again. A
- * voter that is merely silent may come back, so its successor is added first and it is removed
- * next: were it removed first and the successor lost, the group would be left with too few disks.
+ * <p>Invariants: a change adds, removes or replaces a single voter. A voter is replaced in one step
+ * only by a replica at the same address: the old identity was lost with its disk and can never vote
+ * again. An unresponsive voter may come back, so its successor is added before it is removed: if it
+ * were removed first and the successor failed, too few disks would hold the state.
  */
 final class VoterPlan {
     private final GroupState mState;
@@ -30,34 +30,34 @@
     }
 
     /**
-     * Decides.
+     * Computes the next set of voters.
      *
-     * @param waiting replicas that could become voters at once
-     * @param gone tells whether a voter may be given up
-     * @return the next voters, if they are to change
+     * @param learners live non-voters that hold the newest entry durably
+     * @param unresponsive whether a voter is unresponsive and may be removed
+     * @return the new voters, or empty if no change is due
      */
-    Optional<List<Member>> next(List<PeerProgress> waiting, Predicate<Member> gone) {
-        for (PeerProgress peer : waiting) {
-            Optional<Member> wiped = voterAt(peer.mMember.address());
-            if (wiped.isPresent()) {
-                return Optional.of(replaced(wiped.get(), peer.mMember));
+    Optional<List<Member>> next(List<PeerProgress> learners, Predicate<Member> unresponsive) {
+        for (PeerProgress peer : learners) {
+            Optional<Member> predecessor = voterAt(peer.mMember.address());
+            if (predecessor.isPresent()) {
+                return Optional.of(replaced(predecessor.get(), peer.mMember));
             }
         }
         List<Member> members = new ArrayList<>(mState.members());
-        Optional<Member> silent =
+        Optional<Member> unresponsiveVoter =
                 members.stream()
                         .filter(member -> !member.id().equals(mSelf.id()))
-                        .filter(gone)
+                        .filter(unresponsive)
                         .findFirst();
         if (members.size() > mTargetVoters) {
-            silent.ifPresent(members::remove);
-            return silent.map(_ -> members);
+            unresponsiveVoter.ifPresent(members::remove);
+            return unresponsiveVoter.map(_ -> members);
         }
-        boolean grow = members.size() < mTargetVoters || silent.isPresent();
-        if (!grow || waiting.isEmpty()) {
+        boolean grow = members.size() < mTargetVoters || unresponsiveVoter.isPresent();
+        if (!grow || learners.isEmpty()) {
             return Optional.empty();
         }
-        members.add(waiting.getFirst().mMember);
+        members.add(learners.getFirst().mMember);
         return Optional.of(members);
     }
 
@@ -67,9 +67,9 @@
                 .findFirst();
     }
 
-    private List<Member> replaced(Member old, Member successor) {
+    private List<Member> replaced(Member predecessor, Member successor) {
         return mState.members().stream()
-                .map(member -> member.equals(old) ? successor : member)
+                .map(member -> member.equals(predecessor) ? successor : member)
                 .toList();
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/controller/Admission.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/controller/Admission.java
@@ -16,8 +16,8 @@
 import org.orchidmount.blackboard.Reservation;
 import org.orchidmount.blackboard.Ticket;
 import org.orchidmount.clock.MonotonicClock;
-import org.orchidmount.limits.LimitBook;
-import org.orchidmount.limits.LimitBook.Limit;
+import org.orchidmount.limits.LocalLimits;
+import org.orchidmount.limits.LocalLimits.Limit;
 import org.orchidmount.routing.Decision;
 import org.orchidmount.routing.DecisionInput;
 import org.orchidmount.routing.Policy;
@@ -40,7 +40,7 @@
     private static final Duration TICK = Duration.ofMillis(20);
 
     private final Blackboard mBoard;
-    private final LimitBook mLimits;
+    private final LocalLimits mLimits;
     private final Policy mPolicy;
     private final MonotonicClock mClock;
     private final RandomGenerator mRandom;
@@ -62,7 +62,7 @@
      */
     public Admission(
             Blackboard board,
-            LimitBook limits,
+            LocalLimits limits,
             Policy policy,
             MonotonicClock clock,
             RandomGenerator random,
@@ -153,7 +153,7 @@
         if (mStopping) {
             return new Decision.Refuse(Decision.RefuseReason.STOPPING, RetryAfter.TABLE_MILLIS);
         }
-        long retryAfterMillis = mLimits.takeRate(ticket.account(), mClock.nanoTime());
+        long retryAfterMillis = mLimits.tryAcquireRate(ticket.account(), mClock.nanoTime());
         if (retryAfterMillis > 0) {
             return new Decision.Refuse(Decision.RefuseReason.RATE_LIMIT, retryAfterMillis);
         }
@@ -193,7 +193,7 @@
             decision = mPolicy.decide(input, mRandom);
         }
         boolean placed = decision instanceof Decision.Place;
-        if (placed && mLimits.tryHold(limits(ticket, table)).isPresent()) {
+        if (placed && mLimits.tryAcquire(limits(ticket, table)).isPresent()) {
             return new Decision.Wait(Decision.WaitReason.LIMIT);
         }
         return decision;
--- a/org.orchidmount/src/main/java/org/orchidmount/limits/TokenBucketRetryBudget.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/limits/TokenBucketRetryBudget.java
@@ -9,54 +9,54 @@
 import org.orchidmount.internal.lock.OrderedLock;
 
 /**
- * Retries that requests earn and that a stock bounds; for the upstreams of the table.
+ * Token bucket that requests refill and retries empty; for the upstreams of the table.
  *
- * <p>Invariant: the stock is never below 0 nor above its limit. Thread-safe.
+ * <p>Invariant: the number of tokens is never below 0 nor above the capacity. Thread-safe.
  */
 public final class TokenBucketRetryBudget implements RetryBudget {
-    /** The most retries in stock: those of one lost engine. */
-    private static final double STOCK = 64;
+    /** Capacity of the bucket: the retries caused by the loss of one engine. */
+    private static final double CAPACITY = 64;
 
     private static final double PERCENT = 100;
 
     private final OrderedLock mLock = new OrderedLock(LockRank.LIMITS);
-    private final double mEarned;
-    private double mStock = STOCK;
+    private final double mTokensPerRequest;
+    private double mTokens = CAPACITY;
 
     /**
-     * Creates a budget with its stock full.
+     * Creates a budget with a full bucket, or an empty one if no retries are allowed.
      *
-     * @param retryPercent the retries earned by 100 requests; 0 allows no retry
+     * @param retryPercent retries earned by 100 requests; 0 allows no retry
      */
     public TokenBucketRetryBudget(int retryPercent) {
-        mEarned = retryPercent / PERCENT;
+        mTokensPerRequest = retryPercent / PERCENT;
         if (retryPercent == 0) {
-            mStock = 0;
+            mTokens = 0;
         }
     }
 
     @Override
-    public void countRequest() {
+    public void recordRequest() {
         try (OrderedLock.Held _ = mLock.hold()) {
-            mStock = Math.min(STOCK, mStock + mEarned);
+            mTokens = Math.min(CAPACITY, mTokens + mTokensPerRequest);
         }
     }
 
     @Override
-    public boolean tryTake() {
+    public boolean tryAcquire() {
         try (OrderedLock.Held _ = mLock.hold()) {
-            if (mStock < 1) {
+            if (mTokens < 1) {
                 return false;
             }
-            mStock--;
+            mTokens--;
             return true;
         }
     }
 
     @Override
-    public void giveBack() {
+    public void refund() {
         try (OrderedLock.Held _ = mLock.hold()) {
-            mStock = Math.min(STOCK, mStock + 1);
+            mTokens = Math.min(CAPACITY, mTokens + 1);
         }
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/ConnectProbe.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/ConnectProbe.java
@@ -15,61 +15,65 @@
 import org.orchidmount.internal.log.PartLog;
 
 /**
- * Probes by a connection that carries nothing. Immutable and thread-safe.
+ * Probes an upstream by opening a TCP connection without sending data. Immutable and thread-safe.
  *
- * <p>Something that listens is looked at again: the sockets of a process that ends are closed one
- * after the other, so its port may still be open when its connections have broken. An end that was
- * missed for that would not count, and the request would go on to end another upstream.
+ * <p>A successful connection is repeated: the sockets of a terminating process are closed one after
+ * the other, so its port may still be open when its connections have already broken. If the
+ * termination were missed for that reason, the crash would not be counted, and the request would go
+ * on to crash another upstream.
  */
-public final class ConnectProbe implements EndProbe {
+public final class ConnectProbe implements TerminationProbe {
     private static final PartLog LOG = PartLog.of("crash");
 
-    /** Looks at a port that stays open; the last one decides. */
-    private static final int LOOKS = 3;
+    /** Connection attempts to a port that stays open; the last one decides. */
+    private static final int MAX_ATTEMPTS = 3;
 
-    /** Between two looks: far more than the closing of a process's sockets takes. */
-    private static final Duration PAUSE = Duration.ofMillis(20);
+    /** Time between two attempts, far longer than it takes to close the sockets of a process. */
+    private static final Duration RETRY_INTERVAL = Duration.ofMillis(20);
 
-    /** A request waits for it before it is tried again; far more than a round trip. */
-    private static final Duration TIMEOUT = Duration.ofMillis(100);
+    /** Delays the retry of a request; far longer than a round trip. */
+    private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(100);
 
-    private final Pauser mPauser;
+    private final Sleeper mSleeper;
 
-    /** Waits between two looks; replaced by tests. */
+    /** Sleeps between two attempts; replaced in tests. */
     @FunctionalInterface
-    interface Pauser {
-        void pause(Duration time);
+    interface Sleeper {
+        void sleep(Duration time);
     }
 
-    /** Creates a probe that waits in real time. */
+    /** Creates a probe that sleeps in real time. */
     public ConnectProbe() {
-        this(pause -> LockSupport.parkNanos(pause.toNanos()));
+        this(time -> LockSupport.parkNanos(time.toNanos()));
     }
 
-    ConnectProbe(Pauser pauser) {
-        mPauser = pauser;
+    ConnectProbe(Sleeper sleeper) {
+        mSleeper = sleeper;
     }
 
     @Override
     public Finding probe(Peer peer) {
-        Finding finding = look(peer);
-        for (int looks = 1; looks < LOOKS && finding == Finding.LISTENS; looks++) {
-            mPauser.pause(PAUSE);
-            finding = look(peer);
+        Finding finding = connect(peer);
+        for (int attempts = 1; attempts < MAX_ATTEMPTS && finding == Finding.LISTENS; attempts++) {
+            mSleeper.sleep(RETRY_INTERVAL);
+            finding = connect(peer);
         }
         return finding;
     }
 
-    private static Finding look(Peer peer) {
+    private static Finding connect(Peer peer) {
         try (Socket socket = new Socket()) {
             socket.connect(
-                    new InetSocketAddress(peer.host(), peer.port()), (int) TIMEOUT.toMillis());
+                    new InetSocketAddress(peer.host(), peer.port()),
+                    (int) CONNECT_TIMEOUT.toMillis());
             return Finding.LISTENS;
         } catch (ConnectException e) {
-            LOG.debug("%s has ended: %s", peer.name(), e.getMessage());
+            LOG.debug(
+                    "upstream %s has terminated, its port refuses connections: %s",
+                    peer.name(), e.getMessage());
             return Finding.ENDED;
         } catch (IOException e) {
-            LOG.debug("%s is silent: %s", peer.name(), e.getMessage());
+            LOG.debug("no answer from the host of upstream %s: %s", peer.name(), e.getMessage());
             return Finding.SILENT;
         }
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/ConnectionWatch.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/ConnectionWatch.java
@@ -15,52 +15,57 @@
 import org.orchidmount.internal.log.PartLog;
 
 /**
- * Watches by a connection that carries nothing: it breaks when the process at its other end does.
- * One that is closed while something still listens was closed for its idleness. Immutable and
- * thread-safe.
+ * Watches an upstream through an idle TCP connection, which breaks when the process at the other
+ * end terminates. A connection that is closed while the port still accepts connections was closed
+ * because it was idle. Immutable and thread-safe.
  */
-public final class ConnectionWatch implements EndWatch {
+public final class ConnectionWatch implements TerminationWatch {
     private static final PartLog LOG = PartLog.of("crash");
 
-    /** Far more than a round trip within a site. */
+    /** Far longer than a round trip within a site. */
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(100);
 
-    private final EndProbe mProbe;
+    private final TerminationProbe mProbe;
 
     /**
      * Creates a watch.
      *
-     * @param probe tells whether anything listens once the connection is closed
+     * @param probe determines whether the port still accepts connections after the connection was
+     *     closed
      */
-    public ConnectionWatch(EndProbe probe) {
+    public ConnectionWatch(TerminationProbe probe) {
         mProbe = probe;
     }
 
     @Override
-    public boolean endsWithin(Peer peer, Duration longest) {
+    public boolean awaitTermination(Peer peer, Duration timeout) {
         try (Socket socket = new Socket()) {
             socket.connect(
                     new InetSocketAddress(peer.host(), peer.port()),
                     (int) CONNECT_TIMEOUT.toMillis());
-            socket.setSoTimeout((int) longest.toMillis());
-            return isClosed(socket) && mProbe.probe(peer) == EndProbe.Finding.ENDED;
+            socket.setSoTimeout((int) timeout.toMillis());
+            return awaitClose(socket) && mProbe.probe(peer) == TerminationProbe.Finding.ENDED;
         } catch (ConnectException e) {
-            LOG.debug("%s has ended: %s", peer.name(), e.getMessage());
+            LOG.debug(
+                    "upstream %s has terminated, its port refuses connections: %s",
+                    peer.name(), e.getMessage());
             return true;
         } catch (IOException e) {
-            LOG.debug("%s cannot be watched: %s", peer.name(), e.getMessage());
+            LOG.debug(
+                    "cannot watch upstream %s for its termination: %s",
+                    peer.name(), e.getMessage());
             return false;
         }
     }
 
-    /** Waits until the other side closes the connection, or the socket's timeout is over. */
-    private static boolean isClosed(Socket socket) {
+    /** Blocks until the peer closes the connection or the socket timeout expires. */
+    private static boolean awaitClose(Socket socket) {
         try {
             return socket.getInputStream().read() < 0;
         } catch (SocketTimeoutException e) {
             return false;
         } catch (IOException e) {
-            LOG.debug("a watched connection breaks: %s", e.getMessage());
+            LOG.debug("connection to a watched upstream broke: %s", e.getMessage());
             return true;
         }
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashReports.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashReports.java
@@ -18,61 +18,63 @@
 import org.orchidmount.membership.Registration;
 
 /**
- * What the requests of one instance report of crashes, and what they ask before they run.
+ * Receives the crash reports of the requests of one instance, and answers their queries before a
+ * run.
  *
- * <p>Invariant: a crash counts only once it is proved that the upstream has ended. Thread-safe.
+ * <p>Invariant: a crash is counted only once it is confirmed that the upstream has terminated.
+ * Thread-safe.
  */
 public final class CrashReports {
     private static final PartLog LOG = PartLog.of("crash");
 
     /**
-     * How long an upstream is watched after a run there was broken off: what crashes it does so
-     * within some tens of milliseconds of its begin, and what goes on longer without its caller is
-     * rare.
+     * How long an upstream is watched after a run on it was abandoned. A request that crashes its
+     * upstream does so within some tens of milliseconds of its start, and runs that continue
+     * without their caller for longer than this are rare.
      */
-    static final Duration WATCH_FOR = Duration.ofMillis(600);
+    static final Duration WATCH_DURATION = Duration.ofMillis(600);
 
-    /** Upstreams watched at once at most; each costs a connection. */
-    private static final int MOST_WATCHED = 256;
+    /** Maximum number of upstreams watched concurrently; each takes one connection. */
+    private static final int MAX_WATCHED = 256;
 
     private final CrashRegistry mRegistry;
     private final CrashAnnouncer mAnnouncer;
-    private final EndProbe mProbe;
-    private final EndWatch mWatch;
-    private final SharedTurns mTurns;
-    private final UnprovenCrashes mUnproven;
+    private final TerminationProbe mProbe;
+    private final TerminationWatch mWatch;
+    private final RunLock mRunLock;
+    private final UnconfirmedCrashes mUnconfirmed;
     private final RunningSuspects mRunning = new RunningSuspects();
     private final AtomicLong mCrashes = new AtomicLong();
     private final AtomicLong mRefusals = new AtomicLong();
     private final AtomicInteger mWatched = new AtomicInteger();
 
     /**
-     * Creates it without any reports.
+     * Creates an instance without any reports.
      *
      * @param registry holds the records
-     * @param announcer passes them on
-     * @param probe finds out whether an upstream has ended
-     * @param watch finds out whether an upstream ends
-     * @param turns gives turns over all instances
-     * @param clock tells how long a proof has been awaited
+     * @param announcer distributes the records
+     * @param probe determines whether an upstream has terminated
+     * @param watch waits for the termination of an upstream
+     * @param runLock serializes suspected requests over all instances
+     * @param clock clock for the age of unconfirmed crashes
      */
     public CrashReports(
             CrashRegistry registry,
             CrashAnnouncer announcer,
-            EndProbe probe,
-            EndWatch watch,
-            SharedTurns turns,
+            TerminationProbe probe,
+            TerminationWatch watch,
+            RunLock runLock,
             MonotonicClock clock) {
         mRegistry = registry;
         mAnnouncer = announcer;
         mProbe = probe;
         mWatch = watch;
-        mTurns = turns;
-        mUnproven = new UnprovenCrashes(clock);
+        mRunLock = runLock;
+        mUnconfirmed = new UnconfirmedCrashes(clock);
     }
 
     /**
-     * Tells whether no crash is known, so that nothing need be asked of any request.
+     * Returns whether no crash is known, so that requests need not be checked.
      *
      * @return true if no records are held
      */
@@ -81,35 +83,36 @@
     }
 
     /**
-     * Returns what is known of a request.
+     * Returns the record of a request.
      *
-     * @param fingerprint the request
-     * @return its record
+     * @param fingerprint fingerprint of the request
+     * @return its record; one without crashes if none is held
      */
     public CrashRecord find(RequestFingerprint fingerprint) {
         return mRegistry.find(fingerprint);
     }
 
     /**
-     * Takes the turn to run a copy of a suspected request, here and over all instances.
+     * Acquires the exclusive right to run a copy of a suspected request, on this instance and over
+     * all instances.
      *
-     * @param request the request
-     * @return false if a copy runs
+     * @param request fingerprint of the request
+     * @return false if another copy is running
      */
-    boolean tryBegin(RequestFingerprint request) {
+    boolean tryAcquireRunLock(RequestFingerprint request) {
         if (!mRunning.tryBegin(request)) {
             return false;
         }
-        if (mTurns.tryTake(request)) {
+        if (mRunLock.tryAcquire(request)) {
             return true;
         }
         mRunning.end(request);
         return false;
     }
 
-    /** Ends what {@link #tryBegin} has begun. */
-    void end(RequestFingerprint request) {
-        mTurns.end(request);
+    /** Releases what {@link #tryAcquireRunLock} has acquired. */
+    void releaseRunLock(RequestFingerprint request) {
+        mRunLock.release(request);
         mRunning.end(request);
     }
 
@@ -121,7 +124,7 @@
     /**
      * Reports that an upstream has crashed.
      *
-     * @param after the record of the request that it ran, this crash included
+     * @param after record of the request that it was running, including this crash
      */
     public void crashed(CrashRecord after) {
         mCrashes.incrementAndGet();
@@ -129,79 +132,83 @@
     }
 
     /**
-     * Reports that a call has failed as calls to an upstream that crashes do. It counts as a crash
-     * at once if the upstream is found to have ended, otherwise once another one has taken its
-     * place. One that falls silent is not looked at: what it does not answer proves nothing.
+     * Reports a call that failed in the way in which calls to a crashing upstream fail. It is
+     * counted as a crash immediately if the upstream is found to have terminated, otherwise once
+     * another upstream has taken its place. An upstream that timed out is not probed, since a
+     * missing answer proves nothing.
      *
      * @param failure how the call failed
-     * @param after the record of the request that it ran, a crash included
-     * @param upstream the upstream
-     * @param peer where it listened
+     * @param after record of the request that it was running, including a crash
+     * @param upstream incarnation of the upstream
+     * @param peer address of the upstream
      */
-    public void mayHaveCrashed(
+    public void suspectedCrash(
             Failure failure, CrashRecord after, Incarnation upstream, Peer peer) {
         boolean hasEnded =
-                failure instanceof Failure.Broken && mProbe.probe(peer) == EndProbe.Finding.ENDED;
+                failure instanceof Failure.Broken
+                        && mProbe.probe(peer) == TerminationProbe.Finding.ENDED;
         if (hasEnded) {
             crashed(after);
         } else {
-            mUnproven.add(after, upstream, peer.host() + ":" + peer.port());
+            mUnconfirmed.add(after, upstream, peer.host() + ":" + peer.port());
         }
     }
 
     /**
-     * Reports that a run was broken off here because its caller left. Its upstream may go on with
-     * it for a moment, and end under it unseen: so it is watched.
+     * Reports that a run was abandoned by this instance because its caller disconnected. The
+     * upstream may continue the run for a moment and crash unnoticed, so it is watched.
      *
-     * @param after the record of the request, a crash included
-     * @param peer where the upstream listens
-     * @param isPlanned asked when the upstream has ended: whether it had said that it leaves
-     * @param watched called once when the watch is over, whatever it has found
+     * @param after record of the request, including a crash
+     * @param peer address of the upstream
+     * @param isPlanned returns whether the upstream had announced its departure; called when it has
+     *     terminated
+     * @param onWatchEnd called once when the watch is over, whatever its result
      */
     public void abandoned(
-            CrashRecord after, Peer peer, BooleanSupplier isPlanned, Runnable watched) {
-        if (mWatched.incrementAndGet() > MOST_WATCHED) {
+            CrashRecord after, Peer peer, BooleanSupplier isPlanned, Runnable onWatchEnd) {
+        if (mWatched.incrementAndGet() > MAX_WATCHED) {
             mWatched.decrementAndGet();
-            watched.run();
+            onWatchEnd.run();
             return;
         }
-        Thread.ofVirtual().name("end-watch").start(() -> watch(after, peer, isPlanned, watched));
+        Thread.ofVirtual().name("end-watch").start(() -> watch(after, peer, isPlanned, onWatchEnd));
     }
 
-    private void watch(CrashRecord after, Peer peer, BooleanSupplier isPlanned, Runnable watched) {
+    private void watch(
+            CrashRecord after, Peer peer, BooleanSupplier isPlanned, Runnable onWatchEnd) {
         try {
-            if (mWatch.endsWithin(peer, WATCH_FOR) && !isPlanned.getAsBoolean()) {
+            if (mWatch.awaitTermination(peer, WATCH_DURATION) && !isPlanned.getAsBoolean()) {
                 crashed(after);
             }
         } finally {
             mWatched.decrementAndGet();
-            watched.run();
+            onWatchEnd.run();
         }
     }
 
     /**
-     * Tells whether calls to an upstream that crashes fail so.
+     * Returns whether a failure may be caused by the crash of the upstream.
      *
      * @param failure how a call failed
-     * @return false if the failure has another reason for certain
+     * @return false if the failure certainly has another cause
      */
     public static boolean mayBeCrash(Failure failure) {
         return failure instanceof Failure.Broken || failure instanceof Failure.TimedOut;
     }
 
     /**
-     * Takes a registration, which may prove that another upstream has ended.
+     * Processes a registration, which may confirm that another upstream has terminated.
      *
      * @param registration the registration
      */
     public void registered(Registration registration) {
-        mUnproven.takeProved(registration).forEach(this::crashed);
+        mUnconfirmed.takeConfirmed(registration).forEach(this::crashed);
     }
 
     /**
-     * Reports that a request has run to an end that its upstream survived.
+     * Reports that a request has completed and its upstream is still running.
      *
-     * @param fingerprint the request
+     * @param fingerprint fingerprint of the request
      */
     public void survived(RequestFingerprint fingerprint) {
         announce(mRegistry.clear(fingerprint).stream().toList());
@@ -211,34 +218,36 @@
         for (CrashRecord record : changed) {
             if (record.isQuarantined()) {
                 LOG.warn(
-                        "the request %s is quarantined: %d upstreams have crashed under it",
+                        "request %s quarantined after %d consecutive upstream crashes",
                         record.fingerprint(), record.crashes());
             } else {
-                LOG.info("the request %s: %d crashes", record.fingerprint(), record.crashes());
+                LOG.info(
+                        "request %s: %d consecutive upstream crashes",
+                        record.fingerprint(), record.crashes());
             }
             mAnnouncer.announce(record);
         }
     }
 
     /**
-     * Returns how many crashes were reported here.
+     * Returns the number of crashes reported on this instance.
      *
-     * @return a count
+     * @return number of crashes
      */
     public long crashCount() {
         return mCrashes.get();
     }
 
     /**
-     * Returns how many requests were refused here because they are quarantined.
+     * Returns the number of requests that this instance refused because they are quarantined.
      *
-     * @return a count
+     * @return number of requests
      */
     public long refusalCount() {
         return mRefusals.get();
     }
 
-    /** Returns what was counted, for logs. */
+    /** Returns the counters, for logs. */
     @Override
     public String toString() {
         return "%d crashes, %d requests refused, %d quarantined"
--- a/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaOwner.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quota/QuotaOwner.java
@@ -14,67 +14,68 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The buckets of all keys, at the one instance that holds the lease for them.
+ * The buckets of all keys, held by the one instance that has the lease.
  *
- * <p>A bucket is filled at the rate of its key up to the burst. A request is granted while the
- * bucket is above zero, and may take it below: so a large request is granted as often as a small
- * one, which it would not be if the bucket had to hold it whole, and a window exceeds the limit by
- * one request at most.
+ * <p>A bucket is refilled at the rate of its key up to the burst. A request is granted while the
+ * bucket is above zero, and may take it below zero. Large requests are thus granted as often as
+ * small ones, which would not be so if the bucket had to hold the whole request, and the use in a
+ * window exceeds the limit by at most one request.
  *
- * <p>Invariants: what is granted in any window stays below rate, burst and one request, for as long
- * as one lease lasts. A new lease begins with a part of the tolerance and not with the burst, since
- * nothing is known of what was granted under the one before. Not thread-safe; time is passed in.
+ * <p>Invariants: the units granted in any window stay below rate, burst and one request for as long
+ * as one lease lasts. Under a new lease a bucket begins with a share of the tolerance instead of
+ * the burst, since the grants under the previous lease are not known. Not thread-safe; callers pass
+ * the time in.
  */
 public final class QuotaOwner {
-    /** The longest time to come back; callers rarely wait for more. */
-    private static final double MOST_WAIT_SECONDS = 8;
+    /** Upper bound of the retry time; callers rarely wait longer. */
+    private static final double MAX_RETRY_SECONDS = 8;
 
-    /** Looks at the buckets between two searches for those that are of no use. */
-    private static final int SWEEP_ASKS = 4_096;
+    /** Number of requests between two removals of buckets that are equal to new ones. */
+    private static final int SWEEP_INTERVAL_REQUESTS = 4_096;
 
     private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
     private final Map<String, Bucket> mBuckets = new HashMap<>();
     private long mLease;
     private long mLeaseNanos;
-    private long mFormerNanos;
-    private int mAsks;
+    private long mPreviousLeaseNanos;
+    private int mRequests;
 
-    /** The state of one key. */
+    /** Token bucket of one key. */
     private static final class Bucket {
         private QuotaLimit mLimit;
         private long mVersion;
 
-        /** Units that may be used now; below zero after a large request. */
+        /** Units available now; below zero after a large request. */
         private double mUnits;
 
-        /** Units refused lately, less what the rate has let come back since. */
+        /** Recently refused units, less those that the rate has refilled since. */
         private double mRefusedUnits;
 
-        private long mAtNanos;
+        private long mUpdatedNanos;
 
-        /** What was granted and refused since {@link #takeUses} last told so. */
+        /** Units granted since the last call of {@link #drainUses}. */
         private long mGrantedUnits;
 
         private int mGranted;
 
-        /** Questions granted since the bucket was made. */
-        private long mGrantedInAll;
+        /** Requests granted since the bucket was created. */
+        private long mTotalGranted;
 
         private int mRefused;
 
         private void advance(long nowNanos) {
-            double filled = mLimit.ratePerSecond() * (nowNanos - mAtNanos) / NANOS_PER_SECOND;
+            double filled = mLimit.ratePerSecond() * (nowNanos - mUpdatedNanos) / NANOS_PER_SECOND;
             mUnits = Math.min(mLimit.burst(), mUnits + filled);
             mRefusedUnits = Math.max(0, mRefusedUnits - filled);
-            mAtNanos = nowNanos;
+            mUpdatedNanos = nowNanos;
         }
 
         private void grant(long units) {
             mUnits -= units;
             mGrantedUnits += units;
             mGranted++;
-            mGrantedInAll++;
+            mTotalGranted++;
         }
 
         private QuotaUse takeUse(String key) {
@@ -85,63 +86,65 @@
             return use;
         }
 
-        /** Refused requests are told to come back one after the other, as the rate has room. */
+        /** Staggers the retry times of refused requests at the rate of the key. */
         private Duration refuse(long units) {
             mRefused++;
             mRefusedUnits += units;
             double seconds = (mRefusedUnits - mUnits) / mLimit.ratePerSecond();
             return Duration.ofNanos(
-                    (long) (Math.min(MOST_WAIT_SECONDS, seconds) * NANOS_PER_SECOND));
+                    (long) (Math.min(MAX_RETRY_SECONDS, seconds) * NANOS_PER_SECOND));
         }
     }
 
     /**
-     * Notes under which lease the next questions are answered. A new one forgets all buckets.
+     * Sets the lease under which the following requests are answered. A new lease discards all
+     * buckets.
      *
-     * @param lease the number of the lease; it rises with each holder
-     * @param formerNanos since when there was no more than one other lease, as far as is known here
-     * @param nowNanos the monotonic time
+     * @param lease number of the lease, which increases with each holder
+     * @param previousLeaseNanos monotonic time since when at most one other lease has existed, as
+     *     far as this instance knows
+     * @param nowNanos monotonic time
      */
-    public void hold(long lease, long formerNanos, long nowNanos) {
+    public void hold(long lease, long previousLeaseNanos, long nowNanos) {
         if (lease != mLease) {
             mBuckets.clear();
             mLease = lease;
             mLeaseNanos = nowNanos;
-            mFormerNanos = formerNanos;
+            mPreviousLeaseNanos = previousLeaseNanos;
         }
     }
 
     /**
-     * Answers a question under the lease.
+     * Answers a request under the lease.
      *
-     * @param ask the question
-     * @param nowNanos the monotonic time, not before that of the call before
-     * @return granted, or when to come back
+     * @param request the request
+     * @param nowNanos monotonic time, not before that of the previous call
+     * @return granted, too large, or exceeded with the time to retry after
      */
-    public QuotaAnswer ask(QuotaAsk ask, long nowNanos) {
+    public QuotaAnswer ask(QuotaRequest request, long nowNanos) {
         sweep(nowNanos);
-        Bucket bucket = mBuckets.computeIfAbsent(ask.key(), key -> newBucket(ask));
-        adopt(bucket, ask);
+        Bucket bucket = mBuckets.computeIfAbsent(request.key(), key -> newBucket(request));
+        applyNewerLimit(bucket, request);
         bucket.advance(nowNanos);
         QuotaLimit limit = bucket.mLimit;
-        if (ask.units() > limit.burst() + limit.tolerance()) {
+        if (request.units() > limit.burst() + limit.tolerance()) {
             return QuotaAnswer.TOO_LARGE;
         }
         if (bucket.mUnits <= 0) {
-            return QuotaAnswer.exceeded(bucket.refuse(ask.units()));
+            return QuotaAnswer.exceeded(bucket.refuse(request.units()));
         }
-        bucket.grant(ask.units());
+        bucket.grant(request.units());
         return QuotaAnswer.GRANTED;
     }
 
     /**
-     * Takes back units that were granted and not used.
+     * Returns units to the bucket that were granted and not used.
      *
-     * @param key what is limited
-     * @param units how many
-     * @param nowNanos the monotonic time
+     * @param key key of the bucket; ignored if it has none
+     * @param units number of units
+     * @param nowNanos monotonic time
      */
-    public void giveBack(String key, long units, long nowNanos) {
+    public void refund(String key, long units, long nowNanos) {
         Bucket bucket = mBuckets.get(key);
         if (bucket != null) {
             bucket.advance(nowNanos);
@@ -150,22 +153,23 @@
     }
 
     /**
-     * Tells how many questions were granted under this lease.
+     * Returns the number of requests granted under this lease.
      *
-     * @param key what is limited
-     * @return a count; 0 for a key that nobody has asked for lately
+     * @param key key of the bucket
+     * @return number of requests; 0 for a key that was not requested recently
      */
     public long granted(String key) {
         Bucket bucket = mBuckets.get(key);
-        return bucket == null ? 0 : bucket.mGrantedInAll;
+        return bucket == null ? 0 : bucket.mTotalGranted;
     }
 
     /**
-     * Tells what was granted and refused since the last call, of keys that were refused anything.
+     * Returns and resets what was granted and refused since the last call, for keys with at least
+     * one refusal.
      *
-     * @return their use
+     * @return use per key
      */
-    public List<QuotaUse> takeUses() {
+    public List<QuotaUse> drainUses() {
         List<QuotaUse> uses = new ArrayList<>();
         mBuckets.forEach(
                 (key, bucket) -> {
@@ -177,33 +181,40 @@
         return uses;
     }
 
-    /** A key that was not asked for yet has been filled since the lease began. */
-    private Bucket newBucket(QuotaAsk ask) {
+    /** Creates a bucket that counts as refilled since the lease began. */
+    private Bucket newBucket(QuotaRequest request) {
         Bucket bucket = new Bucket();
-        bucket.mLimit = ask.limit();
-        bucket.mVersion = ask.version();
-        bucket.mUnits = Math.min(ask.limit().burst(), startShare(ask) * ask.limit().tolerance());
-        bucket.mAtNanos = mLeaseNanos;
+        bucket.mLimit = request.limit();
+        bucket.mVersion = request.version();
+        bucket.mUnits =
+                Math.min(
+                        request.limit().burst(),
+                        initialShare(request) * request.limit().tolerance());
+        bucket.mUpdatedNanos = mLeaseNanos;
         return bucket;
     }
 
-    /** Only what no window holds twice may be large. */
-    private double startShare(QuotaAsk ask) {
-        boolean isFirst = mLeaseNanos - mFormerNanos >= ask.limit().window().toNanos();
-        return isFirst ? QuotaTolerance.FIRST_START_SHARE : QuotaTolerance.NEXT_START_SHARE;
+    /** Returns the larger share only for the first change of the lease within a window. */
+    private double initialShare(QuotaRequest request) {
+        boolean isFirst = mLeaseNanos - mPreviousLeaseNanos >= request.limit().window().toNanos();
+        return isFirst ? QuotaTolerance.FIRST_LEASE_SHARE : QuotaTolerance.LATER_LEASE_SHARE;
     }
 
-    /** The newest table counts, also for instances that do not have it yet. */
-    private static void adopt(Bucket bucket, QuotaAsk ask) {
-        if (ask.version() > bucket.mVersion) {
-            bucket.mVersion = ask.version();
-            bucket.mLimit = ask.limit();
+    /**
+     * Gives the bucket the limit that the request states, if that limit is from a newer table than
+     * the limit of the bucket. Requests of instances that do not have that table yet then count
+     * against the newer limit too.
+     */
+    private static void applyNewerLimit(Bucket bucket, QuotaRequest request) {
+        if (request.version() > bucket.mVersion) {
+            bucket.mVersion = request.version();
+            bucket.mLimit = request.limit();
         }
     }
 
-    /** Forgets buckets that a new one would equal. */
+    /** Removes the buckets that are equal to newly created ones. */
     private void sweep(long nowNanos) {
-        if (++mAsks % SWEEP_ASKS != 0) {
+        if (++mRequests % SWEEP_INTERVAL_REQUESTS != 0) {
             return;
         }
         Iterator<Bucket> buckets = mBuckets.values().iterator();
@@ -211,13 +222,13 @@
             Bucket bucket = buckets.next();
             bucket.advance(nowNanos);
             boolean isFull = bucket.mUnits >= bucket.mLimit.burst();
-            if (isFull && bucket.mRefusedUnits == 0 && isOld(bucket, nowNanos)) {
+            if (isFull && bucket.mRefusedUnits == 0 && wouldNewBucketBeFull(bucket, nowNanos)) {
                 buckets.remove();
             }
         }
     }
 
-    private boolean isOld(Bucket bucket, long nowNanos) {
+    private boolean wouldNewBucketBeFull(Bucket bucket, long nowNanos) {
         double leaseSeconds = (nowNanos - mLeaseNanos) / NANOS_PER_SECOND;
         return leaseSeconds * bucket.mLimit.ratePerSecond() > bucket.mLimit.burst();
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/AttemptRunner.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/AttemptRunner.java
@@ -27,20 +27,23 @@
 import org.orchidmount.upstream.CancelSignal;
 
 /**
- * Carries out the attempts of one request: calls an upstream, passes its response on, and reports
- * what the attempt proves. It decides nothing; {@link RequestRelay} does.
+ * Executes the attempts of one request: calls an upstream, forwards its response to the caller, and
+ * reports the outcome. {@link RequestRelay} decides whether to try again.
  *
- * <p>Invariants: only a whole response, or whole events in rising order, reach the caller; what the
- * caller has in part is continued only with what follows it; what was prepared at an upstream is
- * used at that start of it only. Used by one virtual thread.
+ * <p>Invariants: the caller receives only complete responses, or complete events with increasing
+ * ids; a stream that the caller has received in part is continued only with the events that follow;
+ * resources reserved at an upstream are used only at the incarnation that granted them. Confined to
+ * one virtual thread.
  */
 final class AttemptRunner {
     private static final PartLog LOG = PartLog.of("relay");
 
-    /** Bytes of a response that is not streamed; larger ones fail. */
+    /** Maximum size of a response that is not streamed; larger responses fail. */
     private static final int MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
-    /** The body of a response that is thrown away, to keep its connection. */
+    /**
+     * Time allowed to drain the body of an unused response, so that its connection can be reused.
+     */
     private static final Duration DISCARD_TIMEOUT = Duration.ofSeconds(2);
 
     private final RelayContext mContext;
@@ -53,24 +56,26 @@
     private final CrashReporter mCrashReporter;
     private final long mArrivedNanos;
     private Optional<StreamForward> mStream = Optional.empty();
-    private Optional<HeldResponse> mHeld = Optional.empty();
+    private Optional<FallbackResponse> mFallback = Optional.empty();
     private Optional<StreamTiming> mTiming = Optional.empty();
-    private long mFirstNanos;
+    private long mFirstResponseNanos;
     private boolean mHasResponse;
 
-    /** The last event that the caller had when the latest attempt began. */
-    private long mFromPosition;
+    /**
+     * Id of the last event that the caller had received when the latest attempt began; 0 for none.
+     */
+    private long mStartEventId;
 
-    private String mLastFailure = "no upstream takes work";
+    private String mLastFailure = "no upstream is available";
 
     /**
-     * A whole error response that is passed on unless another upstream does better.
+     * A complete error response that is forwarded to the caller if no later attempt succeeds.
      *
-     * @param status its status
-     * @param headers the fields that are passed on
-     * @param body its body
+     * @param status the HTTP status
+     * @param headers the header fields to forward
+     * @param body the complete body
      */
-    record HeldResponse(int status, HeaderMap headers, byte[] body) {}
+    record FallbackResponse(int status, HeaderMap headers, byte[] body) {}
 
     AttemptRunner(
             RelayContext context,
@@ -91,91 +96,96 @@
         mArrivedNanos = context.clock().nanoTime();
     }
 
-    /** Returns why the latest attempt did not serve the caller. */
+    /** Returns the reason why the latest attempt failed, for the log. */
     String lastFailure() {
         return mLastFailure;
     }
 
-    /** Tells whether the upstream of the latest attempt has begun to respond. */
+    /** Returns whether the upstream of the latest attempt has sent a response head. */
     boolean hasResponse() {
         return mHasResponse;
     }
 
-    /** Returns when the first part of a response came, since the request arrived, if any did. */
+    /**
+     * Returns the time from the arrival of the request to the first part of a response; empty if
+     * none has come.
+     */
     Optional<Duration> firstResponse() {
-        return mFirstNanos == 0
+        return mFirstResponseNanos == 0
                 ? Optional.empty()
-                : Optional.of(Duration.ofNanos(mFirstNanos - mArrivedNanos));
+                : Optional.of(Duration.ofNanos(mFirstResponseNanos - mArrivedNanos));
     }
 
-    /** Returns the longest pause of the latest stream; zero without one. */
+    /**
+     * Returns the longest gap between two parts of the latest stream; zero if there was no stream.
+     */
     Duration longestPause() {
         return mTiming.map(timing -> Duration.ofMillis(timing.longestPauseMillis()))
                 .orElse(Duration.ZERO);
     }
 
-    private void noteFirstResponse() {
-        if (mFirstNanos == 0) {
-            mFirstNanos = mContext.clock().nanoTime();
+    private void recordFirstResponse() {
+        if (mFirstResponseNanos == 0) {
+            mFirstResponseNanos = mContext.clock().nanoTime();
         }
     }
 
-    /** Returns the error response to pass on if no attempt does better. */
-    Optional<HeldResponse> held() {
-        return mHeld;
+    /** Returns the error response to forward if no attempt succeeds. */
+    Optional<FallbackResponse> fallback() {
+        return mFallback;
     }
 
-    /** Returns the stream that the caller has in part, if any. */
-    Optional<StreamForward> begunStream() {
+    /** Returns the stream of which the caller has received a part, if any. */
+    Optional<StreamForward> startedStream() {
         return mStream.filter(StreamForward::isStarted);
     }
 
     /**
-     * Makes one attempt.
+     * Makes one attempt at an upstream.
      *
-     * @param placement where
-     * @param cache where the prompt's KV cache is, if it was prefilled elsewhere
-     * @param history the attempts before
-     * @return what the attempt proves
-     * @throws IOException if the caller has gone
+     * @param placement the upstream and what is reserved there
+     * @param cache the location of the prompt's KV cache, if another engine prefilled it
+     * @param history the previous attempts
+     * @return the outcome
+     * @throws IOException if the caller has disconnected
      * @throws TimeoutException if the caller reads too slowly
      * @throws InterruptedException if the thread is interrupted
      */
     AttemptOutcome run(Placement placement, Optional<KvCacheRef> cache, AttemptRule.History history)
             throws IOException, TimeoutException, InterruptedException {
         mHasResponse = false;
-        mFromPosition = position();
+        mStartEventId = lastEventId();
         Assignment assignment = placement.assignment();
-        if (assignment.hasStartedAgain()) {
-            mLastFailure = "the upstream has started again";
+        if (assignment.hasRestarted()) {
+            mLastFailure = "the upstream has restarted";
             return AttemptOutcome.NOT_REACHED;
         }
-        if (mContext.pace().isPaused(assignment.incarnation())) {
-            mLastFailure = "the upstream has asked for a pause meanwhile";
+        if (mContext.upstreamLimits().isPaused(assignment.incarnation())) {
+            mLastFailure = "the upstream has asked for a pause since it was chosen";
             return AttemptOutcome.NOT_REACHED;
         }
         UpstreamCall upstreamCall =
                 new UpstreamCall(
                         assignment.id(),
-                        left(),
+                        timeLeft(),
                         Phase.COMPLETE,
                         cache,
                         placement.reservation(),
-                        mFromPosition);
+                        mStartEventId);
         HttpHead head = mContext.protocol().head(mRequest, upstreamCall);
-        mProgress.waitsFor(Activity.SENDING, assignment.id());
+        mProgress.startWaiting(Activity.SENDING, assignment.id());
         long sentNanos = mContext.clock().nanoTime();
         try (CallCancel cancel = new CallCancel(mCancel, assignment);
                 HttpCall call = open(assignment, head, cancel.signal())) {
-            mProgress.waitsFor(Activity.RESPONSE, assignment.id());
-            Duration silenceLimit =
-                    AttemptRule.silenceLimit(
-                            history, mRoute.attemptLimits(), mRoute.target(), left());
-            ClientResponse response = call.awaitResponse(silenceLimit);
+            mProgress.startWaiting(Activity.RESPONSE, assignment.id());
+            Duration responseTimeout =
+                    AttemptRule.responseTimeout(
+                            history, mRoute.attemptLimits(), mRoute.targetLatency(), timeLeft());
+            ClientResponse response = call.awaitResponse(responseTimeout);
             mHasResponse = true;
             call.limitIdle(mContext.protocol().idleTimeout(response));
-            mProgress.waitsFor(Activity.BODY, assignment.id());
-            return onHead(placement, call, response, sentNanos);
+            mProgress.startWaiting(Activity.BODY, assignment.id());
+            return onResponseHead(placement, call, response, sentNanos);
         } catch (CallFailedException e) {
             return failed(assignment, e.failure());
         }
@@ -187,14 +197,14 @@
         byte[] body = mRequest.body();
         return body.length == 0
                 ? connections.call(assignment.peer(), Step.FORWARD, head, cancel)
-                : connections.call(assignment.peer(), Step.FORWARD, head, body, left(), cancel);
+                : connections.call(assignment.peer(), Step.FORWARD, head, body, timeLeft(), cancel);
     }
 
-    private Duration left() {
-        return mRequest.left(mContext.clock().nanoTime());
+    private Duration timeLeft() {
+        return mRequest.timeLeft(mContext.clock().nanoTime());
     }
 
-    private AttemptOutcome onHead(
+    private AttemptOutcome onResponseHead(
             Placement placement, HttpCall call, ClientResponse response, long sentNanos)
             throws CallFailedException, IOException, TimeoutException, InterruptedException {
         Assignment assignment = placement.assignment();
@@ -202,26 +212,27 @@
             case NOT_RUN -> {
                 mContext.responded(assignment, response, sentNanos);
                 if (placement.reservation().isPresent()) {
-                    mContext.refusedDespiteRoom(assignment);
+                    mContext.refusedDespiteReservation(assignment);
                 } else {
                     mContext.refused(assignment);
                 }
-                mLastFailure = "status " + response.getResponseCode() + ", not run";
+                mLastFailure = "status " + response.getResponseCode() + ", request not run";
                 discard(call);
                 yield AttemptOutcome.NOT_RUN;
             }
             case MISDIRECTED -> {
                 mContext.upstreams().misdirected(assignment);
-                mLastFailure = "another upstream has the address";
+                mLastFailure = "another upstream answered at the address";
                 yield AttemptOutcome.NOT_RUN;
             }
             case FOREIGN -> {
-                // It proves nothing of the request, but what it says of its upstream is true.
+                // The response is of no use for this request, but what it states about its upstream
+                // is valid.
                 if (mContext.protocol().isResponseTo(mRequest, response)) {
                     mContext.respondedToCall(assignment, response, sentNanos);
                 }
                 mContext.upstreams().failed(assignment);
-                mLastFailure = "the response of another request";
+                mLastFailure = "the response belongs to another request";
                 call.abort();
                 yield AttemptOutcome.MAY_HAVE_RUN;
             }
@@ -243,13 +254,13 @@
     private AttemptOutcome failed(Assignment assignment, Failure failure) {
         mLastFailure = failure.describe();
         mContext.callFailed(assignment, failure, mCancel);
-        mCrashReporter.failed(assignment, failure, mFromPosition, position());
+        mCrashReporter.failed(assignment, failure, mStartEventId, lastEventId());
         return failure.mayHaveRun() ? AttemptOutcome.MAY_HAVE_RUN : AttemptOutcome.NOT_REACHED;
     }
 
-    /** Returns the last event that the caller has; 0 for none. */
-    private long position() {
-        return mStream.map(StreamForward::last).orElse(0L);
+    /** Returns the id of the last event forwarded to the caller; 0 for none. */
+    private long lastEventId() {
+        return mStream.map(StreamForward::lastEventId).orElse(0L);
     }
 
     private AttemptOutcome onResponse(Placement placement, HttpCall call, ClientResponse response)
@@ -259,21 +270,21 @@
         if (mRoute.kind() == RequestKind.STREAM && HttpStatus.isSuccess(status)) {
             return onStream(placement, call, status, headers);
         }
-        byte[] body = call.readAll(left(), MAX_RESPONSE_BYTES);
+        byte[] body = call.readAll(timeLeft(), MAX_RESPONSE_BYTES);
         if (HttpStatus.isServerError(status)) {
             mContext.upstreams().failed(placement.assignment());
             mLastFailure = "status " + status;
-            mHeld = Optional.of(new HeldResponse(status, headers, body));
+            mFallback = Optional.of(new FallbackResponse(status, headers, body));
             return AttemptOutcome.MAY_HAVE_RUN;
         }
         mCrashReporter.survived();
         mContext.upstreams().succeeded(placement.assignment());
-        if (begunStream().isPresent()) {
-            mLastFailure = "status " + status + " for the rest of a stream";
+        if (startedStream().isPresent()) {
+            mLastFailure = "status " + status + " instead of the rest of the stream";
             return AttemptOutcome.MAY_HAVE_RUN;
         }
-        noteFirstResponse();
-        mCaller.whole(status, headers, body);
+        recordFirstResponse();
+        mCaller.sendComplete(status, headers, body);
         return AttemptOutcome.ENDED;
     }
 
@@ -282,33 +293,33 @@
             throws CallFailedException, IOException, TimeoutException, InterruptedException {
         StreamForward stream = mStream.orElseGet(() -> new StreamForward(mCaller));
         mStream = Optional.of(stream);
-        stream.upstreamBegins(status, headers);
-        long before = stream.last();
+        stream.beginUpstream(status, headers);
+        long before = stream.lastEventId();
         StreamTiming timing = forward(placement, call, stream);
-        if (!stream.isBetweenEvents()) {
+        if (!stream.isAtEventBoundary()) {
             mContext.upstreams().failed(placement.assignment());
-            mLastFailure = "the stream ended within an event";
+            mLastFailure = "the stream ended with an incomplete event";
             return AttemptOutcome.MAY_HAVE_RUN;
         }
         mCrashReporter.survived();
         stream.end();
-        mTracker.ifPresent(tracker -> tracker.observe(stream.last() - before, timing));
+        mTracker.ifPresent(tracker -> tracker.observe(stream.lastEventId() - before, timing));
         logStream(placement, stream, timing);
         return AttemptOutcome.ENDED;
     }
 
-    /** Passes a stream on until its upstream ends it. */
+    /** Forwards a stream until its upstream ends it. */
     private StreamTiming forward(Placement placement, HttpCall call, StreamForward stream)
             throws CallFailedException, IOException, TimeoutException, InterruptedException {
         Assignment assignment = placement.assignment();
-        long before = stream.last();
+        long before = stream.lastEventId();
         StreamTiming timing = new StreamTiming(mContext.clock(), mArrivedNanos);
         mTiming = Optional.of(timing);
-        for (byte[] part = call.read(left()); part != null; part = call.read(left())) {
-            boolean first = timing.part();
-            noteFirstResponse();
+        for (byte[] part = call.read(timeLeft()); part != null; part = call.read(timeLeft())) {
+            boolean first = timing.recordPart();
+            recordFirstResponse();
             stream.part(part);
-            mTracker.ifPresent(tracker -> tracker.generated(stream.last() - before));
+            mTracker.ifPresent(tracker -> tracker.generated(stream.lastEventId() - before));
             if (first) {
                 mContext.upstreams().release(assignment);
                 mTracker.ifPresent(tracker -> tracker.observeFirst(placement));
@@ -321,12 +332,12 @@
 
     private void logStream(Placement placement, StreamForward stream, StreamTiming timing) {
         LOG.debug(
-                "%s: first after %d ms, longest pause %d ms, %d events from %s in %.0f ms, prompt"
-                        + " %s",
+                "%s: first part after %d ms, longest pause %d ms, %d events from %s in %.0f ms,"
+                        + " prompt %s",
                 mRequest.id(),
                 timing.firstMillis(),
                 timing.longestPauseMillis(),
-                stream.last(),
+                stream.lastEventId(),
                 placement.assignment().id(),
                 timing.durationMillis(),
                 mRequest.prompt());
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/CallCancel.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/CallCancel.java
@@ -8,40 +8,40 @@
 import org.orchidmount.upstream.CancelSignal;
 
 /**
- * Ends one call to an upstream when its request is cancelled, or when the upstream starts again:
- * the answer of the start before cannot come any more, though behind a cut its connection stays
- * open.
+ * Cancels one call to an upstream when its request is cancelled or when the upstream restarts. The
+ * previous incarnation can no longer respond, but in a network partition its connection stays open.
  *
- * <p>Invariant: neither the request nor the upstream keeps it after {@link #close}. Thread-safe.
+ * <p>Invariant: neither the request nor the upstream refers to it after {@link #close}.
+ * Thread-safe.
  */
 final class CallCancel implements AutoCloseable {
     private final CancelSignal mSignal = new CancelSignal();
-    private final CancelSignal.Registration mOfRequest;
-    private final CancelSignal.Registration mOfUpstream;
+    private final CancelSignal.Registration mRequestRegistration;
+    private final CancelSignal.Registration mRestartRegistration;
 
     /**
-     * Watches both.
+     * Registers with the signals of the request and of the upstream.
      *
-     * @param request the cancel of the request
+     * @param request the cancel signal of the request
      * @param assignment the work that the call is for
      */
     CallCancel(CancelSignal request, Assignment assignment) {
-        mOfRequest = follow(request);
-        mOfUpstream = follow(assignment.end());
+        mRequestRegistration = cancelWith(request);
+        mRestartRegistration = cancelWith(assignment.restartSignal());
     }
 
-    private CancelSignal.Registration follow(CancelSignal other) {
+    private CancelSignal.Registration cancelWith(CancelSignal other) {
         return other.onCancel(() -> mSignal.cancel(other.reason()));
     }
 
-    /** Returns what the call is given. */
+    /** Returns the signal to pass to the call. */
     CancelSignal signal() {
         return mSignal;
     }
 
     @Override
     public void close() {
-        mOfRequest.close();
-        mOfUpstream.close();
+        mRequestRegistration.close();
+        mRestartRegistration.close();
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/MemoryReservations.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/MemoryReservations.java
@@ -17,15 +17,20 @@
 import org.orchidmount.relay.RequestProgress.Activity;
 import org.orchidmount.upstream.CancelSignal;
 
-/** Reserves memory at engines for one request, and releases it. Used by one virtual thread. */
+/** Reserves memory at engines for one request, and releases it. Confined to one virtual thread. */
 final class MemoryReservations {
     private static final PartLog LOG = PartLog.of("engine");
 
-    /** How long an engine keeps memory that is not used: longer than a prefill takes. */
-    private static final Duration LIFE = Duration.ofMillis(1_800);
+    /**
+     * Time for which an engine keeps reserved memory that is not used; longer than a prefill takes.
+     */
+    private static final Duration RESERVATION_TTL = Duration.ofMillis(1_800);
 
-    /** An engine answers at once, so one that does not is given up. */
-    private static final Duration TIMEOUT = Duration.ofMillis(300);
+    /**
+     * Timeout of a reservation call. Engines answer these at once, so one that does not is given
+     * up.
+     */
+    private static final Duration CALL_TIMEOUT = Duration.ofMillis(300);
 
     private final RelayContext mContext;
     private final String mRequestId;
@@ -41,41 +46,42 @@
     }
 
     /**
-     * Reserves memory. A cancel does not break the call off, because memory whose name is not known
-     * cannot be released; the call is short.
+     * Reserves memory at an engine. Cancelling the request does not abort the call, because a
+     * reservation whose id is unknown cannot be released; the call is short.
      *
-     * @param assignment the engine
-     * @param tokens how much
-     * @return the reservation's name; nothing if the engine has no room or fails, or the request
-     *     was cancelled before
+     * @param assignment the work assigned to the engine
+     * @param tokens the memory to reserve, in tokens
+     * @return the id of the reservation; empty if the engine has no capacity or fails, or if the
+     *     request was already cancelled
      */
     Optional<String> reserve(Assignment assignment, int tokens) {
         if (mCancel.isCancelled()) {
             return Optional.empty();
         }
         UpstreamProtocol protocol = mContext.protocol();
-        HttpHead head = protocol.reserve(assignment.id());
-        byte[] body = protocol.reservation(tokens, LIFE);
-        mProgress.waitsFor(Activity.RESERVATION, assignment.id());
+        HttpHead head = protocol.reservationHead(assignment.id());
+        byte[] body = protocol.reservationBody(tokens, RESERVATION_TTL);
+        mProgress.startWaiting(Activity.RESERVATION, assignment.id());
         long sentNanos = mContext.clock().nanoTime();
         try (HttpCall call =
-                mContext.connections().call(assignment.peer(), Step.ADMIT, head, body, TIMEOUT)) {
-            ClientResponse response = call.awaitResponse(TIMEOUT);
+                mContext.connections()
+                        .call(assignment.peer(), Step.ADMIT, head, body, CALL_TIMEOUT)) {
+            ClientResponse response = call.awaitResponse(CALL_TIMEOUT);
             call.limitIdle(protocol.idleTimeout(response));
             mContext.respondedToCall(assignment, response, sentNanos);
-            byte[] answer = call.readAll(TIMEOUT, RelayContext.MAX_CONTROL_BYTES);
+            byte[] responseBody = call.readAll(CALL_TIMEOUT, RelayContext.MAX_CONTROL_BYTES);
             if (!HttpStatus.isOk(response.getResponseCode())) {
                 LOG.debug(
-                        "%s: %d tokens not reserved at %s: status %d",
+                        "%s: memory for %d tokens not reserved at %s: status %d",
                         mRequestId, tokens, assignment.id(), response.getResponseCode());
                 return Optional.empty();
             }
-            return Optional.of(protocol.reserved(answer));
+            return Optional.of(protocol.parseReservation(responseBody));
         } catch (CallFailedException e) {
             mContext.callFailed(assignment, e.failure(), mCancel);
         } catch (IOException e) {
             LOG.info(
-                    "%s: the reservation at %s cannot be read: %s",
+                    "%s: cannot parse the reservation response of %s: %s",
                     mRequestId, assignment.id(), e.getMessage());
             mContext.upstreams().failed(assignment);
         }
@@ -83,11 +89,11 @@
     }
 
     /**
-     * Releases the memory of a placement that the request did not use. If the engine has started
-     * again, it is lost, and its name may be that of another reservation now.
+     * Releases the memory of a placement that the request did not use. If the engine has restarted,
+     * the reservation is lost and its id may now be that of another one, so nothing is sent.
      */
     void release(Placement placement) {
-        if (placement.assignment().hasStartedAgain()) {
+        if (placement.assignment().hasRestarted()) {
             return;
         }
         placement
@@ -96,6 +102,6 @@
                         name ->
                                 mContext.release(
                                         placement.assignment(),
-                                        mContext.protocol().unreserve(name)));
+                                        mContext.protocol().releaseHead(name)));
     }
 }
