--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Prefiller.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Prefiller.java
@@ -23,7 +23,7 @@
 import org.orchidmount.relay.RequestProgress.Activity;
 import org.orchidmount.relay.UpstreamCall.Phase;
 import org.orchidmount.routes.Service;
-import org.orchidmount.routing.EnginePace;
+import org.orchidmount.routing.EngineSpeed;
 import org.orchidmount.routing.PrefillRule;
 import org.orchidmount.routing.PrefillTimeoutRule;
 import org.orchidmount.routing.UpstreamCost;
@@ -32,22 +32,31 @@
 /**
  * Has the prompt of one request prefilled by prefill engines.
  *
- * <p>Invariants: a KV cache that no engine has taken is freed; one whose engine has started again
- * is lost, and its name is neither sent nor freed. Used by one virtual thread.
+ * <p>Invariants: a KV cache that no decode engine has taken is freed; a KV cache whose engine has
+ * restarted is lost, and its handle is neither sent nor freed. Confined to one virtual thread.
  */
 final class Prefiller {
     private static final PartLog LOG = PartLog.of("prefill");
 
-    /** The rest of an answer whose head has come. */
-    private static final Duration BODY_TIMEOUT = Duration.ofMillis(500);
+    /** Time allowed to read the body of a prefill response after its head. */
+    private static final Duration RESPONSE_BODY_TIMEOUT = Duration.ofMillis(500);
 
-    /** A KV cache is used again within this time: half of the 500 ms that engines keep it. */
-    private static final Duration REUSE_WITHIN = Duration.ofMillis(250);
+    /**
+     * Time within which an unused KV cache is used by another attempt; half of the 500 ms for which
+     * engines keep it.
+     */
+    private static final Duration REUSE_WINDOW = Duration.ofMillis(250);
 
-    /** Engines asked in turn, so that one silent engine costs one wait. */
+    /**
+     * Maximum number of prefill engines that {@link #prefill} asks, one after another. If the first
+     * fails or stays silent, a second is asked; more are not, since each may cost a further wait.
+     */
     private static final int MAX_ENGINES = 2;
 
-    /** Decode engines that refuse a KV cache before it is given up: one may be at fault itself. */
+    /**
+     * Number of decode engines that refuse a KV cache before it is given up; a single one may
+     * itself be at fault.
+     */
     private static final int MAX_CACHE_REFUSALS = 2;
 
     private final RelayContext mContext;
@@ -61,8 +70,8 @@
     private final long mArrivedNanos;
     private int mCalls;
     private int mCacheRefusals;
-    private Optional<Assignment> mPrefilledAt = Optional.empty();
-    private Optional<KvCacheRef> mUnused = Optional.empty();
+    private Optional<Assignment> mPrefillAssignment = Optional.empty();
+    private Optional<KvCacheRef> mUnusedCache = Optional.empty();
     private long mPrefilledNanos;
     private int mPrefilledTokens;
 
@@ -86,20 +95,20 @@
         mArrivedNanos = context.clock().nanoTime();
     }
 
-    /** Chooses by the load of the prefill engines where the prompt is prefilled. */
+    /** Returns where the prompt is to be prefilled, given the load of the prefill engines. */
     PrefillRule.Choice choice() {
         if (mCacheRefusals >= MAX_CACHE_REFUSALS) {
             return PrefillRule.Choice.UNSPLIT;
         }
         return PrefillRule.choose(
                 mContext.upstreams().estimateMillis(need()),
-                pace().prefillEngineMillis(mPrompt.tokens()),
+                engineSpeed().prefillEngineMillis(mPrompt.tokens()),
                 targetLeftMillis());
     }
 
-    /** Returns what is left of the target; all of it once it has passed. */
+    /** Returns the time left until the target; the whole target once it has passed. */
     private double targetLeftMillis() {
-        Duration target = mRequest.route().target();
+        Duration target = mRequest.route().targetLatency();
         double leftMillis =
                 target.toMillis() - Millis.ofNanos(mContext.clock().nanoTime() - mArrivedNanos);
         return leftMillis > 0 ? leftMillis : target.toMillis();
@@ -109,65 +118,65 @@
         return new UpstreamDirectory.Need(
                 mService.name(),
                 Stage.PREFILL,
-                pace().prefillEngineMillis(mPrompt.tokens()),
-                UpstreamCost.OTHER_ZONE_ENGINE_MILLIS,
+                engineSpeed().prefillEngineMillis(mPrompt.tokens()),
+                UpstreamCost.CROSS_ZONE_ENGINE_MILLIS,
                 false,
-                mContext.pace().passedOver(),
-                mContext.mostAtOnce(mService),
+                mContext.upstreamLimits().excludedUpstreams(),
+                mContext.maxAssignments(mService),
                 this::backlogMillis);
     }
 
-    /** Counts what all instances have given an engine to prefill. */
+    /** Returns the prefill backlog that all instances together have assigned to an engine. */
     private double backlogMillis(String upstreamId, double ownMillis) {
         int tokens = mContext.loads().prefillBacklogTokens(upstreamId);
-        return Math.max(ownMillis, pace().prefillEngineMillis(tokens));
+        return Math.max(ownMillis, engineSpeed().prefillEngineMillis(tokens));
     }
 
-    private EnginePace pace() {
-        return mContext.enginePace(mService.name()).pace();
+    private EngineSpeed engineSpeed() {
+        return mContext.speedEstimator(mService.name()).speed();
     }
 
     /**
-     * Has the prompt prefilled if a prefill engine takes work. A KV cache that was made shortly
-     * before, and was not used, is returned again.
+     * Has the prompt prefilled if a prefill engine is available. A KV cache that was created
+     * shortly before and has not been used is returned again.
      *
-     * @return where the KV cache is; nothing if no engine has prefilled the prompt
+     * @return the location of the KV cache; empty if no engine has prefilled the prompt
      * @throws InterruptedException if the thread is interrupted
      */
     Optional<KvCacheRef> prefill() throws InterruptedException {
-        forgetIfLost();
-        boolean fresh = mContext.clock().nanoTime() - mPrefilledNanos < REUSE_WITHIN.toNanos();
-        if (mUnused.isPresent() && fresh) {
-            return mUnused;
+        discardIfRestarted();
+        boolean fresh = mContext.clock().nanoTime() - mPrefilledNanos < REUSE_WINDOW.toNanos();
+        if (mUnusedCache.isPresent() && fresh) {
+            return mUnusedCache;
         }
-        freeUnused();
+        freeUnusedCache();
         Set<Incarnation> asked = new HashSet<>();
-        while (mUnused.isEmpty() && mayAsk(asked.size())) {
+        while (mUnusedCache.isEmpty() && mayAsk(asked.size())) {
             Optional<Assignment> assignment = mContext.upstreams().assign(need(), asked);
             if (assignment.isEmpty()) {
                 break;
             }
             asked.add(assignment.get().incarnation());
-            if (mContext.mayBeSent(assignment.get(), mRequest).isPresent()) {
-                mUnused = prefillAt(assignment.get());
-                forgetIfLost();
+            if (mContext.acquirePermit(assignment.get(), mRequest).isPresent()) {
+                mUnusedCache = prefillAt(assignment.get());
+                discardIfRestarted();
             }
         }
-        return mUnused;
+        return mUnusedCache;
     }
 
-    private void forgetIfLost() {
-        if (mPrefilledAt.filter(Assignment::hasStartedAgain).isPresent()) {
-            mUnused = Optional.empty();
+    private void discardIfRestarted() {
+        if (mPrefillAssignment.filter(Assignment::hasRestarted).isPresent()) {
+            mUnusedCache = Optional.empty();
         }
     }
 
-    /** Every call but the request's first takes from the retry budget. */
+    /** Every call except the first of the request is charged to the retry budget. */
     private boolean mayAsk(int asked) {
         return !mCancel.isCancelled()
                 && asked < MAX_ENGINES
-                && mCrashReporter.mayRun()
-                && (mCalls == 0 || mContext.retryBudget(mService.name()).tryTake());
+                && mCrashReporter.tryBeginRun()
+                && (mCalls == 0 || mContext.retryBudget(mService.name()).tryAcquire());
     }
 
     private Optional<KvCacheRef> prefillAt(Assignment assignment) {
@@ -180,11 +189,11 @@
             mPrefilledNanos = mContext.clock().nanoTime();
             if (cache.isPresent()) {
                 mPrefilledTokens += mPrompt.tokens();
-                long tookNanos = mPrefilledNanos - assignment.sinceNanos();
-                mContext.enginePace(mService.name())
+                long tookNanos = mPrefilledNanos - assignment.assignedNanos();
+                mContext.speedEstimator(mService.name())
                         .observePrefill(queueTokens, Millis.ofNanos(tookNanos));
             }
-            mPrefilledAt = Optional.of(assignment);
+            mPrefillAssignment = Optional.of(assignment);
             return cache;
         } finally {
             mTracker.end(sequence);
@@ -197,13 +206,13 @@
         UpstreamCall prefill =
                 new UpstreamCall(
                         assignment.id(),
-                        left(),
+                        timeLeft(),
                         Phase.PREFILL,
                         Optional.empty(),
                         Optional.empty(),
                         0);
         HttpHead head = protocol.head(mRequest, prefill);
-        mProgress.waitsFor(Activity.PREFILL, assignment.id());
+        mProgress.startWaiting(Activity.PREFILL, assignment.id());
         long sentNanos = mContext.clock().nanoTime();
         try (CallCancel cancel = new CallCancel(mCancel, assignment);
                 HttpCall call =
@@ -213,47 +222,47 @@
                                         Step.PREFILL,
                                         head,
                                         mRequest.body(),
-                                        left(),
+                                        timeLeft(),
                                         cancel.signal())) {
-            ClientResponse response = call.awaitResponse(silenceLimit(assignment));
+            ClientResponse response = call.awaitResponse(responseTimeout(assignment));
             call.limitIdle(protocol.idleTimeout(response));
             mContext.responded(assignment, response, sentNanos);
-            return onHead(assignment, call, response);
+            return onResponseHead(assignment, call, response);
         } catch (CallFailedException e) {
             mContext.callFailed(assignment, e.failure(), mCancel);
             mCrashReporter.failed(assignment, e.failure(), 0, 0);
         } catch (IOException e) {
             LOG.info(
-                    "%s: the prefill at %s cannot be read: %s",
+                    "%s: cannot parse the prefill response of %s: %s",
                     mRequest.id(), assignment.id(), e.getMessage());
             mContext.upstreams().failed(assignment);
         }
         return Optional.empty();
     }
 
-    private Optional<KvCacheRef> onHead(
+    private Optional<KvCacheRef> onResponseHead(
             Assignment assignment, HttpCall call, ClientResponse response)
             throws CallFailedException, IOException {
-        byte[] body = call.readAll(BODY_TIMEOUT, RelayContext.MAX_CONTROL_BYTES);
+        byte[] body = call.readAll(RESPONSE_BODY_TIMEOUT, RelayContext.MAX_CONTROL_BYTES);
         if (!HttpStatus.isOk(response.getResponseCode())) {
             LOG.debug(
-                    "%s: not prefilled at %s: status %d",
+                    "%s: prompt not prefilled at %s: status %d",
                     mRequest.id(), assignment.id(), response.getResponseCode());
             mContext.refused(assignment);
             return Optional.empty();
         }
-        mContext.upstreams().answered(assignment);
+        mContext.upstreams().responseReceived(assignment);
         String address = assignment.peer().host() + ":" + assignment.peer().port();
-        return Optional.of(new KvCacheRef(address, mContext.protocol().handle(body)));
+        return Optional.of(new KvCacheRef(address, mContext.protocol().parsePrefill(body)));
     }
 
-    private Duration left() {
-        return mRequest.left(mContext.clock().nanoTime());
+    private Duration timeLeft() {
+        return mRequest.timeLeft(mContext.clock().nanoTime());
     }
 
-    private Duration silenceLimit(Assignment assignment) {
-        return PrefillTimeoutRule.silenceLimit(
-                assignment.ordinaryMillis(), mRequest.route().target(), left());
+    private Duration responseTimeout(Assignment assignment) {
+        return PrefillTimeoutRule.responseTimeout(
+                assignment.nominalMillis(), mRequest.route().targetLatency(), timeLeft());
     }
 
     /** Returns the tokens that prefill engines have prefilled for the request. */
@@ -261,41 +270,44 @@
         return mPrefilledTokens;
     }
 
-    /** Frees a KV cache that no engine has taken. */
-    void freeUnused() {
-        forgetIfLost();
-        mUnused.ifPresent(
+    /** Frees a KV cache that no decode engine has taken. */
+    void freeUnusedCache() {
+        discardIfRestarted();
+        mUnusedCache.ifPresent(
                 cache ->
                         mContext.release(
-                                mPrefilledAt.orElseThrow(),
-                                mContext.protocol().freeHandle(cache.handle())));
-        mUnused = Optional.empty();
+                                mPrefillAssignment.orElseThrow(),
+                                mContext.protocol().freeCacheHead(cache.handle())));
+        mUnusedCache = Optional.empty();
     }
 
     /**
-     * Notes that a decode engine has refused the request with its KV cache. That may be for the
-     * engine's own sake; but a cache that two have refused cannot be fetched, because the prefill
-     * engine no longer has it or cannot send it. So it is given up, that engine counts as failed,
-     * and the request is prefilled where it runs: another prefill would be for nothing too. A cache
-     * whose engine has started again is lost for a known reason and does not count.
+     * Records that a decode engine has refused the request with its KV cache. The cause may be the
+     * decode engine itself; but a cache that two engines have refused cannot be fetched, because
+     * the prefill engine no longer holds it or cannot send it. The cache is then given up, the
+     * prefill engine counts as failed, and the decode engine prefills the prompt itself, because
+     * another remote prefill would be wasted too. A cache whose engine has restarted is lost for a
+     * known reason and does not count.
      */
     void cacheRefused() {
-        forgetIfLost();
-        if (mUnused.isEmpty()) {
+        discardIfRestarted();
+        if (mUnusedCache.isEmpty()) {
             return;
         }
         mCacheRefusals++;
         if (mCacheRefusals >= MAX_CACHE_REFUSALS) {
-            mPrefilledAt.ifPresent(mContext.upstreams()::failed);
-            freeUnused();
+            mPrefillAssignment.ifPresent(mContext.upstreams()::failed);
+            freeUnusedCache();
         }
     }
 
-    /** Notes that an engine has taken the KV cache: only now is it known that it was of use. */
-    void used() {
-        if (mUnused.isPresent()) {
-            mPrefilledAt.ifPresent(mContext.upstreams()::proved);
+    /**
+     * Records that a decode engine has taken the KV cache, which shows that the prefill succeeded.
+     */
+    void cacheUsed() {
+        if (mUnusedCache.isPresent()) {
+            mPrefillAssignment.ifPresent(mContext.upstreams()::confirmed);
         }
-        mUnused = Optional.empty();
+        mUnusedCache = Optional.empty();
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RelayContext.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RelayContext.java
@@ -26,65 +26,65 @@
 import org.orchidmount.membership.Incarnation;
 import org.orchidmount.membership.Registration.Stage;
 import org.orchidmount.pacing.SendPermit;
-import org.orchidmount.pacing.UpstreamPace;
 import org.orchidmount.pacing.UpstreamStatement;
+import org.orchidmount.pacing.UpstreamThrottle;
 import org.orchidmount.quarantine.CrashReports;
 import org.orchidmount.routes.Service;
 import org.orchidmount.routing.ClientRetryDetector;
-import org.orchidmount.routing.EnginePaceEstimator;
+import org.orchidmount.routing.EngineSpeedEstimator;
 import org.orchidmount.routing.OutputLengthEstimator;
 import org.orchidmount.upstream.CancelSignal;
 
 /**
- * What all requests share. Every part is thread-safe.
+ * State and services shared by all requests. Every component is thread-safe.
  *
- * @param upstreams the upstreams known here
- * @param retryBudgets the retry budget of each service
+ * @param upstreams the upstreams known to this instance
+ * @param retryBudgets the retry budgets by service
  * @param newRetryBudget creates the budget of a service that has none yet
- * @param enginePaces what has been observed of the engines of each service
- * @param outputLengths estimates the lengths of outputs
- * @param clientRetries tells retries of callers from new requests
+ * @param speedEstimators the estimators of engine speed by service
+ * @param outputLengths the estimator of output lengths
+ * @param clientRetries the detector that tells retries of callers from new requests
  * @param loads the sequences in flight at engines
  * @param announcer announces sequences to the other instances
- * @param crashes what is known of requests that crash upstreams
- * @param pace the limits that upstreams state
+ * @param crashReports the reports of requests that crash upstreams
+ * @param upstreamLimits the limits and pauses that upstreams state
  * @param connections connections to upstreams
- * @param protocol what upstreams speak
+ * @param protocol the protocol of the upstreams
  * @param clock the clock
  */
 record RelayContext(
         UpstreamDirectory upstreams,
         ConcurrentMap<String, RetryBudget> retryBudgets,
         Supplier<RetryBudget> newRetryBudget,
-        ConcurrentMap<String, EnginePaceEstimator> enginePaces,
+        ConcurrentMap<String, EngineSpeedEstimator> speedEstimators,
         OutputLengthEstimator outputLengths,
         ClientRetryDetector clientRetries,
         EngineLoads loads,
         SequenceAnnouncer announcer,
-        CrashReports crashes,
-        UpstreamPace pace,
+        CrashReports crashReports,
+        UpstreamThrottle upstreamLimits,
         HttpConnections connections,
         UpstreamProtocol protocol,
         MonotonicClock clock) {
-    /** Bytes of the answer to a call other than a request; far more than any has. */
+    /** Size limit of the response to a control call; actual responses are far smaller. */
     static final int MAX_CONTROL_BYTES = 64 * 1024;
 
     private static final PartLog LOG = PartLog.of("engine");
 
-    /** The answer to a release does not matter, so little is waited for. */
+    /** Timeout of a release call; short, because its response is not needed. */
     private static final Duration RELEASE_TIMEOUT = Duration.ofMillis(500);
 
-    /** Returns the retry budget of a service. */
+    /** Returns the retry budget of a service, created on first use. */
     RetryBudget retryBudget(String service) {
         return retryBudgets.computeIfAbsent(service, name -> newRetryBudget.get());
     }
 
-    /** Returns what is learned of the engines of a service. */
-    EnginePaceEstimator enginePace(String service) {
-        return enginePaces.computeIfAbsent(service, name -> new EnginePaceEstimator());
+    /** Returns the estimator of the speed of a service's engines, created on first use. */
+    EngineSpeedEstimator speedEstimator(String service) {
+        return speedEstimators.computeIfAbsent(service, name -> new EngineSpeedEstimator());
     }
 
-    /** Learns from a call that failed, unless it failed because its caller had gone. */
+    /** Updates the health of an upstream after a failed call, unless the request was cancelled. */
     void callFailed(Assignment assignment, Failure failure, CancelSignal cancel) {
         LOG.debug(failure.describe());
         if (cancel.isCancelled()) {
@@ -97,13 +97,13 @@
         }
     }
 
-    /** Learns from the head of a response of an upstream to a request. */
+    /** Applies what the head of a response to a request states about its upstream. */
     void responded(Assignment assignment, ClientResponse response, long sentNanos) {
         boolean hasServed = HttpStatus.isSuccess(response.getResponseCode());
         observe(assignment, response, hasServed, sentNanos);
     }
 
-    /** Learns from the head of a response of an upstream to another call than a request. */
+    /** Applies what the head of a response to a control call states about its upstream. */
     void respondedToCall(Assignment assignment, ClientResponse response, long sentNanos) {
         observe(assignment, response, false, sentNanos);
     }
@@ -114,30 +114,33 @@
         if (statement.isEmpty()) {
             return;
         }
-        pace.observe(assignment.incarnation(), statement.get(), hasServed, sentNanos);
+        upstreamLimits.observe(assignment.incarnation(), statement.get(), hasServed, sentNanos);
         if (statement.get().isLeaving()) {
-            upstreams.leaves(assignment);
+            upstreams.markLeaving(assignment);
         }
     }
 
     /**
-     * Returns how many assignments an upstream of a service may have from this instance at once.
-     * Each has one connection, and the upstream counts those of all instances.
+     * Returns the maximum number of concurrent assignments from this instance to an upstream of a
+     * service. Each assignment uses one connection, and the upstream counts the connections of all
+     * instances.
      */
-    int mostAtOnce(Service service) {
+    int maxAssignments(Service service) {
         return service.maxConnections().isEmpty()
-                ? UpstreamDirectory.Need.ANY_NUMBER
-                : pace.equalPart(service.maxConnections().getAsInt());
+                ? UpstreamDirectory.Need.UNLIMITED
+                : upstreamLimits.localShare(service.maxConnections().getAsInt());
     }
 
     /**
-     * Takes the right to send a request to the upstream that was chosen for it.
+     * Acquires a permit to send a request to the upstream that was chosen for it.
      *
-     * @return the right; nothing if the upstream has got what it takes, whose work is then released
+     * @return the permit; empty if the upstream accepts no more requests, in which case the
+     *     assignment is released
      */
-    Optional<SendPermit> mayBeSent(Assignment assignment, RelayRequest request)
+    Optional<SendPermit> acquirePermit(Assignment assignment, RelayRequest request)
             throws InterruptedException {
-        SendPermit permit = pace.take(assignment.incarnation(), request.route().target());
+        SendPermit permit =
+                upstreamLimits.acquire(assignment.incarnation(), request.route().targetLatency());
         if (permit.isGranted()) {
             return Optional.of(permit);
         }
@@ -146,56 +149,63 @@
     }
 
     /**
-     * Learns from a refusal. One by an upstream that states a limit or asks for a pause is for
-     * these, and shows nothing of its health.
+     * Records a refusal. If the upstream states a limit or asks for a pause, the refusal is
+     * attributed to that and does not affect its health.
      */
     void refused(Assignment assignment) {
-        if (!pace.refusedBy(assignment.incarnation())) {
+        if (!upstreamLimits.recordRefusal(assignment.incarnation())) {
             upstreams.refused(assignment);
         }
     }
 
-    /** Learns from a refusal of a request for which memory was reserved, in the same way. */
-    void refusedDespiteRoom(Assignment assignment) {
-        if (!pace.refusedBy(assignment.incarnation())) {
-            upstreams.refusedDespiteRoom(assignment);
+    /**
+     * Records the refusal of a request for which memory was reserved, by the same rule as {@link
+     * #refused}.
+     */
+    void refusedDespiteReservation(Assignment assignment) {
+        if (!upstreamLimits.recordRefusal(assignment.incarnation())) {
+            upstreams.refusedDespiteReservation(assignment);
         }
     }
 
     /**
-     * Tells whether a service has upstreams, and each of them is passed over for what it states.
+     * Returns whether a service has available upstreams and all of them are throttled, that is, at
+     * their stated limit or in a pause that they have asked for.
      *
-     * @param passedOver the identities of those that are, of any service
+     * @param throttled the ids of the throttled upstreams of all services
      */
-    boolean areAllPassedOver(String service, Stage stage, Set<String> passedOver) {
-        if (passedOver.isEmpty()) {
+    boolean areAllThrottled(String service, Stage stage, Set<String> throttled) {
+        if (throttled.isEmpty()) {
             return false;
         }
-        List<Incarnation> upstreamsOfIt = upstreams.takingWork(service, stage);
-        return !upstreamsOfIt.isEmpty()
-                && upstreamsOfIt.stream().allMatch(upstream -> passedOver.contains(upstream.id()));
+        List<Incarnation> available = upstreams.available(service, stage);
+        return !available.isEmpty()
+                && available.stream().allMatch(upstream -> throttled.contains(upstream.id()));
     }
 
     /**
-     * Releases something at an upstream, on a thread of its own. During a pause of the upstream it
-     * is left to lapse there, which takes as long as most pauses.
+     * Releases a reservation or a KV cache at an upstream, on a separate thread. During a pause
+     * that the upstream has asked for, no call is made: the resource expires there, which takes as
+     * long as most pauses.
      */
     void release(Assignment assignment, HttpHead head) {
-        if (pace.isPaused(assignment.incarnation())) {
-            pace.heldBack();
+        if (upstreamLimits.isPaused(assignment.incarnation())) {
+            upstreamLimits.countHeldBack();
             return;
         }
-        Thread.ofVirtual().name("release").start(() -> callToRelease(assignment, head));
+        Thread.ofVirtual().name("release").start(() -> sendRelease(assignment, head));
     }
 
-    private void callToRelease(Assignment assignment, HttpHead head) {
+    private void sendRelease(Assignment assignment, HttpHead head) {
         long sentNanos = clock.nanoTime();
         try (HttpCall call = connections.call(assignment.peer(), Step.CANCEL, head)) {
             ClientResponse response = call.awaitResponse(RELEASE_TIMEOUT);
             respondedToCall(assignment, response, sentNanos);
             call.readAll(RELEASE_TIMEOUT, MAX_CONTROL_BYTES);
         } catch (CallFailedException e) {
-            LOG.debug("not released: %s", e.failure().describe());
+            LOG.debug(
+                    "release failed, the resource expires at the upstream: %s",
+                    e.failure().describe());
         }
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RequestRelay.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RequestRelay.java
@@ -19,26 +19,27 @@
 import org.orchidmount.membership.Incarnation;
 import org.orchidmount.membership.Registration.Stage;
 import org.orchidmount.pacing.SendPermit;
-import org.orchidmount.relay.AttemptRunner.HeldResponse;
+import org.orchidmount.relay.AttemptRunner.FallbackResponse;
 import org.orchidmount.relay.EndClassifier.End;
 import org.orchidmount.relay.RequestProgress.Activity;
 import org.orchidmount.routes.Service;
 import org.orchidmount.routing.AttemptOutcome;
 import org.orchidmount.routing.AttemptRule;
-import org.orchidmount.routing.EnginePace;
+import org.orchidmount.routing.EngineSpeed;
 import org.orchidmount.routing.FinalOutcome;
 import org.orchidmount.routing.RetryAfter;
 import org.orchidmount.routing.UpstreamCost;
 import org.orchidmount.upstream.CancelSignal;
 
 /**
- * Serves one request to registered upstreams to its end: place, attempt, again or give up.
+ * Relays one request to registered upstreams: chooses an upstream, makes an attempt, and then tries
+ * again or gives up.
  *
- * <p>It carries out {@link AttemptRule}, {@link FinalOutcome} and {@link RetryAfter}. Invariants: a
- * request that must not run twice is handed to another upstream only after each one before has said
- * that it has not run it, or was never reached; "not run" is said only if that holds for all; a
- * request that is quarantined is handed to none, whatever its attempts are. Retries of this path
- * happen here and nowhere below. Used by one virtual thread.
+ * <p>Applies {@link AttemptRule}, {@link FinalOutcome} and {@link RetryAfter}. Invariants: a
+ * request that must not run twice is sent to another upstream only after each previous one has
+ * stated that it has not run it, or was never reached; the caller is told "not run" only if that
+ * holds for all; a quarantined request is sent to no upstream, whatever its attempts are. Retries
+ * on this path are made here and in no layer below. Confined to one virtual thread.
  */
 final class RequestRelay {
     private static final PartLog LOG = PartLog.of("relay");
@@ -58,10 +59,13 @@
     private final CrashReporter mCrashReporter;
     private final Set<Incarnation> mTried = new HashSet<>();
     private AttemptRule.History mHistory = AttemptRule.History.NONE;
-    private boolean mLastHadNoRoom;
+    private boolean mLastRefused;
 
-    /** Whether no place was found because of what upstreams state. */
-    private boolean mIsPaced;
+    /**
+     * Whether no placement was found because every upstream is at its stated limit or has asked for
+     * a pause.
+     */
+    private boolean mIsThrottled;
 
     private final RequestReporter mReporter;
 
@@ -113,16 +117,16 @@
                 .isRetry(mRequest.route().name(), Duration.ofNanos(waitNanos));
     }
 
-    /** Serves the request to its end; returns whether an upstream may have run it. */
+    /** Relays the request until it has ended; returns whether an upstream may have run it. */
     Execution run() throws IOException, TimeoutException, InterruptedException {
         try (mCrashReporter;
                 CancelSignal.Registration _ = mCancel.onCancel(mProgress::callerLeft)) {
             End end = serve();
-            mReporter.ended(end, mHistory, mIsPaced, mAttempts, mEngines);
+            mReporter.ended(end, mHistory, mIsThrottled, mAttempts, mEngines);
             boolean mayHaveRun = end == End.SERVED || mHistory.executions() > 0;
             return mayHaveRun ? Execution.MAY_HAVE_RUN : Execution.NOT_RUN;
         } catch (IOException | TimeoutException e) {
-            mReporter.ended(End.CALLER_LEFT, mHistory, mIsPaced, mAttempts, mEngines);
+            mReporter.ended(End.CALLER_LEFT, mHistory, mIsThrottled, mAttempts, mEngines);
             throw e;
         } finally {
             mProgress.ended();
@@ -130,88 +134,88 @@
     }
 
     private End serve() throws IOException, TimeoutException, InterruptedException {
-        mBudget.countRequest();
+        mBudget.recordRequest();
         while (mayTry()) {
             Optional<Placement> placement = place();
             if (placement.isEmpty()) {
-                giveBackRetry();
+                refundRetry();
                 break;
             }
             AttemptOutcome outcome = attemptAt(placement.get());
             if (outcome == AttemptOutcome.ENDED) {
                 return End.SERVED;
             }
-            note(placement.get(), outcome);
+            recordAttempt(placement.get(), outcome);
         }
-        mEngines.ifPresent(engines -> engines.prefiller().freeUnused());
+        mEngines.ifPresent(engines -> engines.prefiller().freeUnusedCache());
         return giveUp();
     }
 
     private boolean mayTry() {
         return !mCancel.isCancelled()
                 && mIsStillAllowed.getAsBoolean()
-                && AttemptRule.mayTry(mHistory, mRequest.route().attemptLimits(), left())
-                && mCrashReporter.mayRun()
-                && (!AttemptRule.takesFromBudget(mHistory) || mBudget.tryTake());
+                && AttemptRule.mayTry(mHistory, mRequest.route().attemptLimits(), timeLeft())
+                && mCrashReporter.tryBeginRun()
+                && (!AttemptRule.takesFromBudget(mHistory) || mBudget.tryAcquire());
     }
 
-    /** Nothing was sent, so nothing was repeated. */
-    private void giveBackRetry() {
+    /** Returns the retry to the budget: nothing was sent, so nothing was repeated. */
+    private void refundRetry() {
         if (AttemptRule.takesFromBudget(mHistory)) {
-            mBudget.giveBack();
+            mBudget.refund();
         }
     }
 
-    private Duration left() {
+    private Duration timeLeft() {
         return Duration.ofNanos(mRequest.endNanos() - mContext.clock().nanoTime());
     }
 
-    private void note(Placement placement, AttemptOutcome outcome) {
+    private void recordAttempt(Placement placement, AttemptOutcome outcome) {
         Incarnation upstream = placement.assignment().incarnation();
         mTried.add(upstream);
-        mLastHadNoRoom = outcome == AttemptOutcome.NOT_RUN;
+        mLastRefused = outcome == AttemptOutcome.NOT_RUN;
         mHistory = mHistory.after(outcome);
         LOG.debug(
                 "%s: attempt %d at %s: %s, %s",
                 mRequest.id(), mHistory.attempts(), upstream, outcome, mAttempts.lastFailure());
     }
 
-    /** Finds a place at an upstream, with memory reserved where that is needed. */
+    /** Finds a placement at an upstream, with memory reserved where that is needed. */
     private Optional<Placement> place() throws InterruptedException {
-        mProgress.waitsFor(Activity.PLACEMENT);
+        mProgress.startWaiting(Activity.PLACEMENT);
         if (mEngines.isPresent()) {
             return mEngines.get().place(mTried);
         }
         return placeAtPlainService();
     }
 
-    /** Asks upstreams in turn whether they have room, each once. */
+    /** Tries to acquire a permit for one upstream after another, each once. */
     private Optional<Placement> placeAtPlainService() throws InterruptedException {
-        Set<String> passedOver = new HashSet<>(mContext.pace().passedOver());
-        mIsPaced = false;
+        Set<String> throttled = new HashSet<>(mContext.upstreamLimits().excludedUpstreams());
+        mIsThrottled = false;
         while (true) {
-            Optional<Assignment> assignment = mContext.upstreams().assign(need(passedOver), mTried);
+            Optional<Assignment> assignment = mContext.upstreams().assign(need(throttled), mTried);
             if (assignment.isEmpty()) {
-                mIsPaced = mContext.areAllPassedOver(mService.name(), Stage.NONE, passedOver);
+                mIsThrottled = mContext.areAllThrottled(mService.name(), Stage.NONE, throttled);
                 return Optional.empty();
             }
-            Optional<SendPermit> permit = mContext.mayBeSent(assignment.get(), mRequest);
+            Optional<SendPermit> permit = mContext.acquirePermit(assignment.get(), mRequest);
             if (permit.isPresent()) {
-                return Optional.of(Placement.atPlainService(assignment.get(), permit.get()));
+                return Optional.of(Placement.withoutReservation(assignment.get(), permit.get()));
             }
-            passedOver.add(assignment.get().id());
+            throttled.add(assignment.get().id());
         }
     }
 
-    private UpstreamDirectory.Need need(Set<String> passedOver) {
+    private UpstreamDirectory.Need need(Set<String> throttled) {
         return new UpstreamDirectory.Need(
                 mService.name(),
                 Stage.NONE,
                 UpstreamCost.PLAIN_REQUEST_MILLIS,
-                UpstreamCost.OTHER_ZONE_PLAIN_MILLIS,
-                !mLastHadNoRoom,
-                passedOver,
-                mContext.mostAtOnce(mService),
+                UpstreamCost.CROSS_ZONE_PLAIN_MILLIS,
+                !mLastRefused,
+                throttled,
+                mContext.maxAssignments(mService),
                 UpstreamDirectory.Backlog.OWN);
     }
 
@@ -219,20 +223,20 @@
             throws IOException, TimeoutException, InterruptedException {
         try {
             Optional<KvCacheRef> cache = prefill(placement);
-            // The wait for a place and the prefill may have taken longer than a change of the
-            // table, or than the same request has taken to crash upstreams elsewhere.
+            // During the wait for a placement and the prefill, the table may have changed, or the
+            // same request may have crashed upstreams elsewhere.
             AttemptOutcome outcome =
-                    mIsStillAllowed.getAsBoolean() && mCrashReporter.mayRun()
+                    mIsStillAllowed.getAsBoolean() && mCrashReporter.tryBeginRun()
                             ? mAttempts.run(placement, cache, mHistory)
                             : AttemptOutcome.NOT_REACHED;
             boolean isAnswered =
                     outcome == AttemptOutcome.ENDED || outcome == AttemptOutcome.MAY_HAVE_RUN;
-            boolean prefilledThere = cache.isEmpty() && isAnswered && mAttempts.hasResponse();
+            boolean prefilledByUpstream = cache.isEmpty() && isAnswered && mAttempts.hasResponse();
             if (outcome == AttemptOutcome.NOT_REACHED && placement.reservation().isEmpty()) {
-                mContext.pace().giveBack(placement.permit());
+                mContext.upstreamLimits().refund(placement.permit());
             }
-            mReporter.attempted(placement.assignment().id(), prefilledThere);
-            mEngines.ifPresent(engines -> settle(engines, placement, outcome));
+            mReporter.recordAttempt(placement.assignment().id(), prefilledByUpstream);
+            mEngines.ifPresent(engines -> releaseOrMarkUsed(engines, placement, outcome));
             return outcome;
         } finally {
             mEngines.ifPresent(engines -> engines.tracker().end(placement));
@@ -248,11 +252,13 @@
     }
 
     /**
-     * Releases what an engine has not taken; notes what it may have taken as used. A request that
-     * waits at its engine when its caller leaves takes nothing any more, so its memory would stay
-     * reserved for up to 1.8 s; if it has taken it all the same, the release does nothing.
+     * Releases what an engine has not taken, and marks what it may have taken as used. A request
+     * that is queued at its engine when its caller disconnects takes nothing any more, so its
+     * memory would stay reserved for up to 1.8 s; if it has taken the memory after all, the release
+     * has no effect.
      */
-    private void settle(EnginePlacer engines, Placement placement, AttemptOutcome outcome) {
+    private void releaseOrMarkUsed(
+            EnginePlacer engines, Placement placement, AttemptOutcome outcome) {
         boolean untouched =
                 outcome == AttemptOutcome.NOT_RUN || outcome == AttemptOutcome.NOT_REACHED;
         if (outcome == AttemptOutcome.NOT_RUN) {
@@ -262,45 +268,50 @@
         if (untouched || abandoned) {
             engines.release(placement);
         } else {
-            engines.prefiller().used();
+            engines.prefiller().cacheUsed();
         }
     }
 
-    /** Ends a request that no upstream has answered to its end. */
+    /** Ends a request that no upstream has answered completely. */
     private End giveUp() throws IOException, TimeoutException, InterruptedException {
         if (mCancel.isCancelled()) {
             return End.CALLER_LEFT;
         }
-        if (mAttempts.begunStream().isPresent()) {
-            long last = mAttempts.begunStream().get().last();
-            LOG.info("%s: cut after event %d: %s", mRequest.id(), last, mAttempts.lastFailure());
-            mCaller.cut();
+        if (mAttempts.startedStream().isPresent()) {
+            long lastEventId = mAttempts.startedStream().get().lastEventId();
+            LOG.info(
+                    "%s: stream aborted after event %d: %s",
+                    mRequest.id(), lastEventId, mAttempts.lastFailure());
+            mCaller.abort();
             return End.CUT;
         }
-        if (mAttempts.held().isPresent()) {
-            HeldResponse held = mAttempts.held().get();
-            mCaller.whole(held.status(), held.headers(), held.body());
+        if (mAttempts.fallback().isPresent()) {
+            FallbackResponse fallback = mAttempts.fallback().get();
+            mCaller.sendComplete(fallback.status(), fallback.headers(), fallback.body());
             return End.UPSTREAM_ERROR;
         }
         if (mCrashReporter.isQuarantined()) {
-            refuseForGood();
+            refuseQuarantined();
             return End.QUARANTINED;
         }
         refuse();
         return End.GIVEN_UP;
     }
 
-    private void refuseForGood() throws IOException, TimeoutException, InterruptedException {
+    private void refuseQuarantined() throws IOException, TimeoutException, InterruptedException {
         mCrashReporter.refused();
         mCaller.refuse(FinalOutcome.QUARANTINED, Duration.ZERO);
     }
 
-    /** A request that may not be tried again looks for no place, but the reason is the same. */
-    private boolean isPaced() {
-        return mIsPaced
-                || mEngines.map(EnginePlacer::isPaced).orElse(false)
-                || mContext.areAllPassedOver(
-                        mService.name(), stage(), mContext.pace().passedOver());
+    /**
+     * Also checks the upstreams as they are now: a request that may not be tried again searches for
+     * no placement, but is refused for the same reason.
+     */
+    private boolean isThrottled() {
+        return mIsThrottled
+                || mEngines.map(EnginePlacer::isThrottled).orElse(false)
+                || mContext.areAllThrottled(
+                        mService.name(), stage(), mContext.upstreamLimits().excludedUpstreams());
     }
 
     private Stage stage() {
@@ -308,45 +319,50 @@
     }
 
     private void refuse() throws IOException, TimeoutException, InterruptedException {
-        mIsPaced = isPaced();
-        FinalOutcome outcome = FinalOutcome.of(mHistory, !left().isPositive());
+        mIsThrottled = isThrottled();
+        FinalOutcome outcome = FinalOutcome.of(mHistory, !timeLeft().isPositive());
         LOG.info(
                 "%s: %s after %d attempts: %s",
                 mRequest.id(),
                 outcome,
                 mHistory.attempts(),
-                mIsPaced ? "no upstream takes more by what it states" : mAttempts.lastFailure());
+                mIsThrottled
+                        ? "every upstream is at its stated limit or has asked for a pause"
+                        : mAttempts.lastFailure());
         mCaller.refuse(outcome, retryAfter());
     }
 
-    /** Returns when to come back; where upstreams state when they take work, by then. */
+    /**
+     * Returns the time after which the caller may retry; where upstreams state when they accept
+     * work, it is based on that.
+     */
     private Duration retryAfter() {
-        List<Incarnation> upstreams = mContext.upstreams().takingWork(mService.name(), stage());
-        if (mIsPaced && !upstreams.isEmpty()) {
-            Duration comeBackAfter =
-                    mContext.pace()
-                            .comeBackAfter(
+        List<Incarnation> upstreams = mContext.upstreams().available(mService.name(), stage());
+        if (mIsThrottled && !upstreams.isEmpty()) {
+            Duration delay =
+                    mContext.upstreamLimits()
+                            .retryAfter(
                                     mService.name(),
                                     upstreams,
                                     unlimitedPerSecond(upstreams.size()),
-                                    mRequest.left(mContext.clock().nanoTime()));
-            return RetryAfter.limit(comeBackAfter, ThreadLocalRandom.current());
+                                    mRequest.timeLeft(mContext.clock().nanoTime()));
+            return RetryAfter.limit(delay, ThreadLocalRandom.current());
         }
         if (mEngines.isEmpty()) {
             return RetryAfter.plainService();
         }
-        return RetryAfter.engines(enginePace(), ThreadLocalRandom.current());
+        return RetryAfter.engines(engineSpeed(), ThreadLocalRandom.current());
     }
 
-    private EnginePace enginePace() {
-        return mContext.enginePace(mService.name()).pace();
+    private EngineSpeed engineSpeed() {
+        return mContext.speedEstimator(mService.name()).speed();
     }
 
-    /** Returns the requests a second that an upstream without a limit is expected to take. */
+    /** Returns the requests per second that an upstream without a limit is expected to accept. */
     private double unlimitedPerSecond(int upstreams) {
         if (mRequest.prompt().isPresent()) {
             int tokens = mRequest.prompt().get().tokens();
-            return MILLIS_PER_SECOND / enginePace().requestMillis(tokens);
+            return MILLIS_PER_SECOND / engineSpeed().requestMillis(tokens);
         }
         double slots = mContext.upstreams().slots(mService.name(), stage());
         return MILLIS_PER_SECOND / UpstreamCost.PLAIN_REQUEST_MILLIS * slots / upstreams;
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/StreamForward.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/StreamForward.java
@@ -10,31 +10,31 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * The stream that a caller gets, from one upstream or from several in turn.
+ * The stream sent to a caller, from one upstream or from several in succession.
  *
- * <p>Invariants: only whole events are passed on, each id once and in rising order; the head is
- * that of the upstream whose event is passed on first, since an upstream that broke off before is
- * not continued but replaced. Used by one thread.
+ * <p>Invariants: only complete events are forwarded, each id once and in increasing order; the head
+ * is that of the upstream whose event is forwarded first, because an upstream that failed before
+ * its first event is not continued but replaced. Confined to one thread.
  */
 final class StreamForward {
-    private final CallerResponse mAnswer;
+    private final CallerResponse mCaller;
     private int mStatus;
     private HeaderMap mHeaders;
     private EventFramer mFramer = new EventFramer();
     private boolean mStarted;
-    private long mLast;
+    private long mLastEventId;
 
-    StreamForward(CallerResponse answer) {
-        mAnswer = answer;
+    StreamForward(CallerResponse caller) {
+        mCaller = caller;
     }
 
     /**
-     * An upstream begins; what another left unfinished is forgotten.
+     * Begins the stream of an upstream; an incomplete event of the previous one is discarded.
      *
-     * @param status its status
-     * @param headers the fields that are passed on, if the caller has no head yet
+     * @param status the HTTP status
+     * @param headers the header fields to forward, if no head has been sent yet
      */
-    void upstreamBegins(int status, HeaderMap headers) {
+    void beginUpstream(int status, HeaderMap headers) {
         mFramer = new EventFramer();
         if (!mStarted) {
             mStatus = status;
@@ -42,43 +42,43 @@
         }
     }
 
-    /** Passes on the events that a part completes. */
+    /** Forwards the events that a part completes. */
     void part(byte[] part) throws IOException, TimeoutException, InterruptedException {
         for (EventFramer.Event event : mFramer.feed(part)) {
-            if (event.isNumbered() && event.id() <= mLast) {
+            if (event.hasId() && event.id() <= mLastEventId) {
                 continue;
             }
-            mLast = Math.max(mLast, event.id());
+            mLastEventId = Math.max(mLastEventId, event.id());
             start();
-            mAnswer.part(event.bytes());
+            mCaller.sendPart(event.bytes());
         }
-        if (mFramer.isOverfull()) {
-            throw new IOException("an event is too large");
+        if (mFramer.isOversized()) {
+            throw new IOException("an event of the upstream exceeds the size limit of 1 MiB");
         }
     }
 
     private void start() {
         if (!mStarted) {
             mStarted = true;
-            mAnswer.begin(mStatus, mHeaders);
+            mCaller.beginStream(mStatus, mHeaders);
         }
     }
 
     void end() throws IOException, TimeoutException, InterruptedException {
         start();
-        mAnswer.end();
+        mCaller.endStream();
     }
 
     boolean isStarted() {
         return mStarted;
     }
 
-    boolean isBetweenEvents() {
-        return mFramer.isBetweenEvents();
+    boolean isAtEventBoundary() {
+        return mFramer.isAtEventBoundary();
     }
 
-    /** Returns the id of the last event passed on, 0 for none. */
-    long last() {
-        return mLast;
+    /** Returns the id of the last event forwarded; 0 for none. */
+    long lastEventId() {
+        return mLastEventId;
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/StreamTiming.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/StreamTiming.java
@@ -8,37 +8,37 @@
 import org.orchidmount.clock.Millis;
 import org.orchidmount.clock.MonotonicClock;
 
-/** When the parts of one stream were received. Used by one thread. */
+/** Arrival times of the parts of one stream. Confined to one thread. */
 final class StreamTiming {
 
     private final MonotonicClock mClock;
     private final long mArrivedNanos;
     private long mFirstNanos;
-    private long mNewestNanos;
+    private long mLatestNanos;
     private long mLongestPauseNanos;
     private int mParts;
 
     /**
-     * Starts to measure.
+     * Creates a timing of a stream that has no parts yet.
      *
      * @param clock the clock
-     * @param arrivedNanos when the request arrived
+     * @param arrivedNanos the monotonic time at which the request arrived
      */
     StreamTiming(MonotonicClock clock, long arrivedNanos) {
         mClock = clock;
         mArrivedNanos = arrivedNanos;
     }
 
-    /** Notes a part; returns true if it is the first. */
-    boolean part() {
+    /** Records the arrival of a part; returns whether it is the first. */
+    boolean recordPart() {
         long nowNanos = mClock.nanoTime();
         boolean first = mParts == 0;
         if (first) {
             mFirstNanos = nowNanos;
         } else {
-            mLongestPauseNanos = Math.max(mLongestPauseNanos, nowNanos - mNewestNanos);
+            mLongestPauseNanos = Math.max(mLongestPauseNanos, nowNanos - mLatestNanos);
         }
-        mNewestNanos = nowNanos;
+        mLatestNanos = nowNanos;
         mParts++;
         return first;
     }
@@ -51,8 +51,8 @@
         return Math.round(Millis.ofNanos(mLongestPauseNanos));
     }
 
-    /** Returns the time between the first part and the newest. */
+    /** Returns the time between the first and the latest part. */
     double durationMillis() {
-        return Millis.ofNanos(mNewestNanos - mFirstNanos);
+        return Millis.ofNanos(mLatestNanos - mFirstNanos);
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Upstream.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Upstream.java
@@ -15,15 +15,15 @@
 import org.orchidmount.upstream.CancelSignal;
 
 /**
- * One incarnation of an upstream as this instance sees it: one that starts again is another object,
- * so that what is known of the one before ends with it. Guarded by the lock of {@link
- * UpstreamDirectory}.
+ * One incarnation of an upstream as seen by this instance. A restarted upstream is another object,
+ * so that what is known of the previous incarnation does not carry over. Guarded by the lock of
+ * {@link UpstreamDirectory}.
  */
 final class Upstream {
     private Registration mRegistration;
     private double mPendingMillis;
     private UpstreamHealth mHealth = UpstreamHealth.UNKNOWN;
-    private final CancelSignal mEnd = new CancelSignal();
+    private final CancelSignal mRestartSignal = new CancelSignal();
     private boolean mIsReplaced;
     private int mAssignments;
 
@@ -39,9 +39,11 @@
         return mRegistration.incarnation();
     }
 
-    /** Returns what is cancelled once a newer incarnation has taken its place; needs no lock. */
-    CancelSignal end() {
-        return mEnd;
+    /**
+     * Returns the signal that is cancelled when a newer incarnation takes its place; needs no lock.
+     */
+    CancelSignal restartSignal() {
+        return mRestartSignal;
     }
 
     boolean isReady() {
@@ -52,17 +54,19 @@
         return mRegistration.state() == State.GONE;
     }
 
-    /** Notes that another upstream has its address, so that it has ended without having left. */
-    void replaced() {
+    /**
+     * Records that another upstream has its address, so that it has ended without announcing it.
+     */
+    void markReplaced() {
         mIsReplaced |= isReady();
-        update(mRegistration.in(State.GONE));
+        update(mRegistration.withState(State.GONE));
     }
 
     boolean isReplaced() {
         return mIsReplaced;
     }
 
-    /** Tells whether it has said that it leaves. */
+    /** Returns whether it has announced that it is leaving. */
     boolean isLeaving() {
         return !isReady() && !mIsReplaced;
     }
@@ -81,27 +85,27 @@
         mPendingMillis = Math.max(0, mPendingMillis - workMillis);
     }
 
-    /** Counts the assignments that have not ended. */
+    /** Returns the number of assignments that have not ended. */
     int assignments() {
         return mAssignments;
     }
 
-    /** Returns when a piece of work would be done at ordinary speed. */
-    double ordinaryMillis(double workMillis, UpstreamDirectory.Backlog backlog) {
-        boolean serial = mRegistration.stage() != Registration.Stage.NONE;
+    /** Returns the time in which work would be finished at nominal speed, including the backlog. */
+    double nominalMillis(double workMillis, UpstreamDirectory.Backlog backlog) {
+        boolean isSerial = mRegistration.stage() != Registration.Stage.NONE;
         double backlogMillis = backlog.millis(mRegistration.id(), mPendingMillis);
-        return UpstreamCost.ordinaryMillis(
-                workMillis, backlogMillis, mRegistration.slots(), serial);
+        return UpstreamCost.nominalMillis(
+                workMillis, backlogMillis, mRegistration.slots(), isSerial);
     }
 
-    /** Returns when a piece of work is expected to be done, by what calls have shown. */
+    /** Returns the time in which work is expected to be finished, given the observed health. */
     double expectedMillis(
             double workMillis,
             UpstreamDirectory.Backlog backlog,
-            double unobserved,
+            double unobservedSlowness,
             long nowNanos) {
-        double ordinaryMillis = ordinaryMillis(workMillis, backlog);
-        return mHealth.expectedMillis(ordinaryMillis, unobserved, nowNanos);
+        double nominalMillis = nominalMillis(workMillis, backlog);
+        return mHealth.expectedMillis(nominalMillis, unobservedSlowness, nowNanos);
     }
 
     Slowness slowness() {
@@ -112,7 +116,7 @@
         return mHealth.backoff().isEjected(nowNanos);
     }
 
-    /** Tells whether it is ejected or refuses work again and again. */
+    /** Returns whether it is ejected or persistently refuses work. */
     boolean isAvoided(long nowNanos) {
         return isEjected(nowNanos) || mHealth.refusals().isPersistent(nowNanos);
     }
@@ -121,7 +125,7 @@
         return mRegistration.service().equals(service) && mRegistration.stage() == stage;
     }
 
-    void learn(UnaryOperator<UpstreamHealth> observation) {
+    void updateHealth(UnaryOperator<UpstreamHealth> observation) {
         mHealth = observation.apply(mHealth);
     }
 }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamDirectory.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamDirectory.java
@@ -32,22 +32,25 @@
 import org.orchidmount.upstream.CancelSignal;
 
 /**
- * The blackboard of the relay: the upstreams known here, the work this instance has given them, and
- * what its calls have shown of them. {@link UpstreamCost} and {@link UpstreamHealth} decide by it.
+ * The upstreams known to this instance, the work that it has assigned to them, and their health as
+ * observed in its calls. {@link UpstreamCost} and {@link UpstreamHealth} hold the rules that use
+ * it.
  *
- * <p>Invariants: an upstream that leaves gets no new work; an address belongs to the upstream that
- * registered there last; an upstream that starts again is another one, of which nothing is known
- * yet, and work given before stays with the one before. Thread-safe; a choice and its assignment
- * are made under one hold of the lock.
+ * <p>Invariants: an upstream that is leaving gets no new work; an address belongs to the upstream
+ * that registered there last; a restarted upstream begins without load or known health, and earlier
+ * work stays with the previous incarnation. Thread-safe; an upstream is chosen and assigned within
+ * one critical section.
  */
 public final class UpstreamDirectory {
     private static final PartLog LOG = PartLog.of("upstreams");
 
     /** Upstreams beyond which those that have left are forgotten; half the target's. */
-    private static final int FORGET_COUNT = 4_096;
+    private static final int REMOVAL_THRESHOLD = 4_096;
 
-    /** An expected time below this says little about speed. */
-    private static final double MIN_ORDINARY_MILLIS = 1;
+    /**
+     * Lower bound of the expected time in a ratio of speeds; shorter times say little about speed.
+     */
+    private static final double MIN_NOMINAL_MILLIS = 1;
 
     private final OrderedLock mLock = new OrderedLock(LockRank.BOARD);
     private final UpstreamIndex mUpstreams = new UpstreamIndex();
@@ -63,7 +66,7 @@
      *
      * @param zone the availability zone of this instance
      * @param clock the clock
-     * @param random breaks ties
+     * @param random the source of randomness that breaks ties
      */
     public UpstreamDirectory(String zone, MonotonicClock clock, RandomGenerator random) {
         mZone = zone;
@@ -72,47 +75,51 @@
     }
 
     /**
-     * Takes a registration. If it is of a new start of an upstream, the calls to the one before
-     * end.
+     * Applies a registration. If it is of a new incarnation of an upstream, the calls to the
+     * previous one are cancelled.
      *
      * @param registration the registration
      */
     public void update(Registration registration) {
-        take(registration)
-                .ifPresent(ended -> ended.end().cancel(CancelSignal.Reason.UPSTREAM_STARTED_AGAIN));
+        apply(registration)
+                .ifPresent(
+                        ended ->
+                                ended.restartSignal()
+                                        .cancel(CancelSignal.Reason.UPSTREAM_STARTED_AGAIN));
         mObserver.accept(registration);
     }
 
-    /** Passes each registration on from now on, once it is taken. */
-    void observe(Consumer<Registration> observer) {
+    /** Sets the observer that is called with each registration after it has been applied. */
+    void setObserver(Consumer<Registration> observer) {
         mObserver = observer;
     }
 
     /**
-     * Passes on from now on what upstreams say in their answers here, and not yet in their
-     * registrations: that they leave.
+     * Sets the announcer of upstreams that state in a response to this instance, but not yet in
+     * their registrations, that they are leaving.
      *
-     * @param announcer takes the registration of each, as that of one that leaves; returns at once
+     * @param announcer called with the registration of each, in the state {@code DRAINING}; must
+     *     not block
      */
     public void announceDepartures(Consumer<Registration> announcer) {
         mDepartureAnnouncer = announcer;
     }
 
-    /** Notes that an upstream has said in an answer that it leaves. */
-    void leaves(Assignment assignment) {
+    /** Records that an upstream has stated in a response that it is leaving. */
+    void markLeaving(Assignment assignment) {
         Registration leaving;
         try (OrderedLock.Held _ = mLock.hold()) {
             if (!assignment.upstream().isReady()) {
                 return;
             }
-            leaving = assignment.upstream().registration().in(State.DRAINING);
+            leaving = assignment.upstream().registration().withState(State.DRAINING);
         }
-        LOG.info("upstream %s says in an answer that it leaves", assignment.incarnation());
+        LOG.info("upstream %s states in a response that it is leaving", assignment.incarnation());
         update(leaving);
         mDepartureAnnouncer.accept(leaving);
     }
 
-    /** Tells whether an upstream has said that it leaves, so that its end is planned. */
+    /** Returns whether an upstream has announced that it is leaving, so that its end is planned. */
     boolean isLeaving(Assignment assignment) {
         try (OrderedLock.Held _ = mLock.hold()) {
             return assignment.upstream().isLeaving();
@@ -120,10 +127,11 @@
     }
 
     /**
-     * Tells whether an upstream is known to have ended: it, or another, has started in its place.
+     * Returns whether an upstream is known to have ended: it has restarted, or another has taken
+     * its address.
      */
     boolean hasEnded(Assignment assignment) {
-        if (assignment.hasStartedAgain()) {
+        if (assignment.hasRestarted()) {
             return true;
         }
         String address = assignment.peer().host() + ":" + assignment.peer().port();
@@ -133,12 +141,12 @@
         }
     }
 
-    /** Takes a registration; returns the incarnation that it ends, if any. */
-    private Optional<Upstream> take(Registration registration) {
+    /** Applies a registration; returns the incarnation that it ends, if any. */
+    private Optional<Upstream> apply(Registration registration) {
         try (OrderedLock.Held _ = mLock.hold()) {
             Upstream known = mUpstreams.get(registration.id());
-            if (known == null || isNextStart(registration, known)) {
-                begin(registration);
+            if (known == null || isNewIncarnation(registration, known)) {
+                add(registration);
                 return Optional.ofNullable(known);
             }
             Incarnation before = known.incarnation();
@@ -150,43 +158,49 @@
         }
     }
 
-    /** One that has left may be followed by an earlier start, if the registry forgot it first. */
-    private static boolean isNextStart(Registration registration, Upstream known) {
+    /**
+     * An upstream that has left may be followed by an incarnation with an earlier start, if the
+     * registry has removed it in between.
+     */
+    private static boolean isNewIncarnation(Registration registration, Upstream known) {
         Incarnation incarnation = registration.incarnation();
         boolean isOther = !incarnation.equals(known.incarnation());
-        return isOther && (incarnation.provesEndOf(known.incarnation()) || known.isGone());
+        return isOther && (incarnation.supersedes(known.incarnation()) || known.isGone());
     }
 
-    private void begin(Registration registration) {
-        if (mUpstreams.size() > FORGET_COUNT) {
+    private void add(Registration registration) {
+        if (mUpstreams.size() > REMOVAL_THRESHOLD) {
             mUpstreams.removeIf(upstream -> !upstream.isReady());
         }
         mUpstreams.put(new Upstream(registration));
         mIdByAddress.put(registration.address(), registration.id());
     }
 
-    /** Notes that another upstream answered at the address of this one, which is therefore gone. */
+    /**
+     * Records that another upstream answered at the address of this one, which is therefore gone.
+     */
     void misdirected(Assignment assignment) {
         try (OrderedLock.Held _ = mLock.hold()) {
-            assignment.upstream().replaced();
+            assignment.upstream().markReplaced();
         }
     }
 
     /**
-     * Gives work to the upstream with the least cost.
+     * Assigns work to the upstream with the lowest cost.
      *
-     * @param need what is needed
-     * @param tried those that the request has tried; another start of one of them is untried
-     * @return the assignment, or nothing if no upstream of the service takes work
+     * @param need the requirements of the work
+     * @param tried the incarnations that the request has tried; another incarnation of the same
+     *     upstream is untried
+     * @return the assignment; empty if no upstream of the service is available
      */
     Optional<Assignment> assign(Need need, Set<Incarnation> tried) {
         try (OrderedLock.Held _ = mLock.hold()) {
             long nowNanos = mClock.nanoTime();
             Upstream best = null;
             double leastMillis = 0;
-            double unobserved = unobserved(need.service(), need.stage(), nowNanos);
+            double unobservedSlowness = unobservedSlowness(need.service(), need.stage(), nowNanos);
             for (Upstream upstream : candidates(need, tried)) {
-                double millis = costMillis(upstream, need, unobserved, nowNanos);
+                double millis = costMillis(upstream, need, unobservedSlowness, nowNanos);
                 if (best == null || millis < leastMillis) {
                     best = upstream;
                     leastMillis = millis;
@@ -195,82 +209,82 @@
             if (best == null) {
                 return Optional.empty();
             }
-            double ordinaryMillis = best.ordinaryMillis(need.workMillis(), need.backlog());
+            double nominalMillis = best.nominalMillis(need.workMillis(), need.backlog());
             best.beginWork(need.workMillis());
-            return Optional.of(new Assignment(best, need.workMillis(), ordinaryMillis, nowNanos));
+            return Optional.of(new Assignment(best, need.workMillis(), nominalMillis, nowNanos));
         }
     }
 
     /**
-     * Names the upstreams that could take a request now, by what they say of themselves.
+     * Returns the upstreams that are available according to their registrations.
      *
      * @param service the service
-     * @param stage their stage
+     * @param stage the stage of the upstreams
      * @return their incarnations
      */
-    List<Incarnation> takingWork(String service, Stage stage) {
+    List<Incarnation> available(String service, Stage stage) {
         try (OrderedLock.Held _ = mLock.hold()) {
             return mUpstreams.ofService(service).stream()
-                    .filter(upstream -> takesWork(upstream, service, stage))
+                    .filter(upstream -> isAvailable(upstream, service, stage))
                     .map(Upstream::incarnation)
                     .toList();
         }
     }
 
     /**
-     * Counts the requests that the upstreams of a service work on at once.
+     * Returns the number of requests that the upstreams of a service process concurrently.
      *
      * @param service the service
-     * @param stage their stage
-     * @return the sum over those that take work
+     * @param stage the stage of the upstreams
+     * @return the sum over the available upstreams
      */
     int slots(String service, Stage stage) {
         try (OrderedLock.Held _ = mLock.hold()) {
             return mUpstreams.ofService(service).stream()
-                    .filter(upstream -> takesWork(upstream, service, stage))
+                    .filter(upstream -> isAvailable(upstream, service, stage))
                     .mapToInt(upstream -> upstream.registration().slots())
                     .sum();
         }
     }
 
     /**
-     * Names the upstreams of a service that are not fit for something.
+     * Returns the upstreams of a service that do not match a predicate.
      *
      * @param service the service
-     * @param stage their stage
-     * @param isFit tells which are
-     * @return the identities of the others
+     * @param stage the stage of the upstreams
+     * @param predicate the predicate on the id of an upstream
+     * @return the ids that do not match
      */
-    Set<String> unfit(String service, Stage stage, Predicate<String> isFit) {
+    Set<String> idsNotMatching(String service, Stage stage, Predicate<String> predicate) {
         try (OrderedLock.Held _ = mLock.hold()) {
             return mUpstreams.ofService(service).stream()
                     .filter(upstream -> upstream.serves(service, stage))
                     .map(upstream -> upstream.registration().id())
-                    .filter(isFit.negate())
+                    .filter(predicate.negate())
                     .collect(Collectors.toSet());
         }
     }
 
     private List<Upstream> candidates(Need need, Set<Incarnation> tried) {
-        List<Upstream> untriedOnes = new ArrayList<>();
-        List<Upstream> triedOnes = new ArrayList<>();
+        List<Upstream> untried = new ArrayList<>();
+        List<Upstream> alreadyTried = new ArrayList<>();
         for (Upstream upstream : mUpstreams.ofService(need.service())) {
             if (isCandidate(upstream, need)) {
                 boolean wasTried = tried.contains(upstream.incarnation());
-                (wasTried ? triedOnes : untriedOnes).add(upstream);
+                (wasTried ? alreadyTried : untried).add(upstream);
             }
         }
-        return untriedOnes.isEmpty() && need.mayTakeTried() ? triedOnes : untriedOnes;
+        return untried.isEmpty() && need.mayTakeTried() ? alreadyTried : untried;
     }
 
     private boolean isCandidate(Upstream upstream, Need need) {
-        return takesWork(upstream, need.service(), need.stage())
-                && upstream.assignments() < need.mostAtOnce()
+        return isAvailable(upstream, need.service(), need.stage())
+                && upstream.assignments() < need.maxAssignments()
                 && !need.excluded().contains(upstream.registration().id());
     }
 
-    /** A crashed upstream says nothing, but the one that follows it has its address. */
-    private boolean takesWork(Upstream upstream, String service, Stage stage) {
+    /** A crashed upstream announces nothing, but its successor takes over its address. */
+    private boolean isAvailable(Upstream upstream, String service, Stage stage) {
         Registration registration = upstream.registration();
         return upstream.isReady()
                 && upstream.serves(service, stage)
@@ -278,110 +292,114 @@
     }
 
     /**
-     * Returns the slowness of upstreams of which nothing was observed lately. What an engine needs
-     * is estimated from what all engines of its service have needed, so for these it is ordinary.
+     * Returns the slowness of upstreams without recent observations. For engines it is nominal,
+     * because the time that an engine needs is already estimated from all engines of its service.
      */
-    private double unobserved(String service, Stage stage, long nowNanos) {
+    private double unobservedSlowness(String service, Stage stage, long nowNanos) {
         if (stage != Stage.NONE) {
-            return Slowness.ORDINARY;
+            return Slowness.NOMINAL;
         }
         return Slowness.unobserved(
                 mUpstreams.ofService(service).stream()
-                        .filter(upstream -> takesWork(upstream, service, stage))
+                        .filter(upstream -> isAvailable(upstream, service, stage))
                         .map(Upstream::slowness),
                 nowNanos);
     }
 
-    private double costMillis(Upstream upstream, Need need, double unobserved, long nowNanos) {
+    private double costMillis(
+            Upstream upstream, Need need, double unobservedSlowness, long nowNanos) {
         boolean sameZone = upstream.registration().zone().equals(mZone);
         double draw = mRandom.nextDouble();
         return UpstreamCost.millis(
-                upstream.expectedMillis(need.workMillis(), need.backlog(), unobserved, nowNanos),
+                upstream.expectedMillis(
+                        need.workMillis(), need.backlog(), unobservedSlowness, nowNanos),
                 need.workMillis(),
-                sameZone ? 0 : need.otherZoneMillis(),
+                sameZone ? 0 : need.crossZoneMillis(),
                 draw);
     }
 
     /**
-     * Estimates when work would be done at the best upstream.
+     * Estimates the time in which the best upstream would finish the work.
      *
-     * @param need what is needed
-     * @return milliseconds, or nothing if no upstream takes work
+     * @param need the requirements of the work
+     * @return the time in milliseconds; empty if no upstream is available
      */
     OptionalDouble estimateMillis(Need need) {
         try (OrderedLock.Held _ = mLock.hold()) {
             long nowNanos = mClock.nanoTime();
-            double unobserved = unobserved(need.service(), need.stage(), nowNanos);
+            double unobservedSlowness = unobservedSlowness(need.service(), need.stage(), nowNanos);
             return candidates(need, Set.of()).stream()
                     .mapToDouble(
                             upstream ->
                                     upstream.expectedMillis(
                                             need.workMillis(),
                                             need.backlog(),
-                                            unobserved,
+                                            unobservedSlowness,
                                             nowNanos))
                     .min();
         }
     }
 
-    /** Notes that assigned work is done or has ended. Further calls change nothing. */
+    /** Ends assigned work, whether it succeeded or not. Further calls have no effect. */
     void release(Assignment assignment) {
         try (OrderedLock.Held _ = mLock.hold()) {
             assignment.endWork();
         }
     }
 
-    /** Learns from an upstream that did what it was given. */
+    /** Records that an upstream has succeeded in its work. */
     void succeeded(Assignment assignment) {
-        answered(assignment);
-        proved(assignment);
+        responseReceived(assignment);
+        confirmed(assignment);
     }
 
-    /** Learns that an upstream did what it was given, as became known later. */
-    void proved(Assignment assignment) {
-        learn(assignment, (health, nowNanos) -> health.afterSuccess());
+    /** Records that an upstream has succeeded, where this becomes known only after its response. */
+    void confirmed(Assignment assignment) {
+        updateHealth(assignment, (health, nowNanos) -> health.afterSuccess());
     }
 
-    /** Learns from the time of an answer, of which it is not known yet whether it is of use. */
-    void answered(Assignment assignment) {
-        learn(assignment, (health, nowNanos) -> afterAnswer(health, assignment, nowNanos));
+    /** Records the time of a response of which it is not known yet whether it is usable. */
+    void responseReceived(Assignment assignment) {
+        updateHealth(assignment, (health, nowNanos) -> afterResponse(health, assignment, nowNanos));
     }
 
-    private UpstreamHealth afterAnswer(
+    private UpstreamHealth afterResponse(
             UpstreamHealth health, Assignment assignment, long nowNanos) {
-        double tookMillis = Millis.ofNanos(nowNanos - assignment.sinceNanos());
-        double ordinaryMillis = Math.max(MIN_ORDINARY_MILLIS, assignment.ordinaryMillis());
+        double tookMillis = Millis.ofNanos(nowNanos - assignment.assignedNanos());
+        double nominalMillis = Math.max(MIN_NOMINAL_MILLIS, assignment.nominalMillis());
         Registration upstream = assignment.upstream().registration();
-        double unobserved = unobserved(upstream.service(), upstream.stage(), nowNanos);
-        return health.afterAnswer(tookMillis / ordinaryMillis, unobserved, nowNanos);
+        double unobservedSlowness =
+                unobservedSlowness(upstream.service(), upstream.stage(), nowNanos);
+        return health.afterResponse(tookMillis / nominalMillis, unobservedSlowness, nowNanos);
     }
 
-    /** Learns from an upstream that failed. */
+    /** Records that an upstream has failed. */
     void failed(Assignment assignment) {
-        learn(assignment, UpstreamHealth::afterFailure);
+        updateHealth(assignment, UpstreamHealth::afterFailure);
     }
 
-    /** Learns from an upstream to which no connection could be made. */
+    /** Records that no connection to an upstream could be made. */
     void unreachable(Assignment assignment) {
-        learn(assignment, UpstreamHealth::afterUnreachable);
+        updateHealth(assignment, UpstreamHealth::afterUnreachable);
     }
 
-    /** Learns from an upstream that refused what it was given. */
+    /** Records that an upstream has refused its work. */
     void refused(Assignment assignment) {
-        learn(assignment, UpstreamHealth::afterRefusal);
+        updateHealth(assignment, UpstreamHealth::afterRefusal);
     }
 
-    /** Learns from an upstream that refused a request for which it had just reserved memory. */
-    void refusedDespiteRoom(Assignment assignment) {
-        learn(assignment, UpstreamHealth::afterRefusalDespiteRoom);
+    /** Records that an upstream has refused a request for which it had just reserved memory. */
+    void refusedDespiteReservation(Assignment assignment) {
+        updateHealth(assignment, UpstreamHealth::afterRefusalDespiteReservation);
     }
 
     /**
-     * Names the upstreams of a stage that are ejected, or refuse work here again and again.
+     * Returns the upstreams of a stage that are ejected or persistently refuse work of this
+     * instance.
      *
      * @param service the service
      * @param stage the stage
-     * @return their identities; none if there is no other upstream, so that one of them is tried
+     * @return the ids; empty if there is no other upstream, so that one of them is tried
      */
     Set<String> avoided(String service, Stage stage) {
         try (OrderedLock.Held _ = mLock.hold()) {
@@ -389,7 +407,7 @@
             Set<String> avoided = new HashSet<>();
             boolean hasOther = false;
             for (Upstream upstream : mUpstreams.ofService(service)) {
-                if (!takesWork(upstream, service, stage)) {
+                if (!isAvailable(upstream, service, stage)) {
                     continue;
                 }
                 if (upstream.isAvoided(nowNanos)) {
@@ -402,63 +420,65 @@
         }
     }
 
-    private void learn(Assignment assignment, Observation observation) {
+    private void updateHealth(Assignment assignment, Observation observation) {
         boolean ejected;
         try (OrderedLock.Held _ = mLock.hold()) {
             long nowNanos = mClock.nanoTime();
             Upstream upstream = assignment.upstream();
             boolean wasEjected = upstream.isEjected(nowNanos);
-            upstream.learn(health -> observation.apply(health, nowNanos));
+            upstream.updateHealth(health -> observation.apply(health, nowNanos));
             ejected = upstream.isEjected(nowNanos) && !wasEjected;
         }
         if (ejected) {
-            LOG.info("upstream %s fails and is ejected for a while", assignment.id());
+            LOG.info("upstream %s is failing and is temporarily ejected", assignment.id());
         }
     }
 
-    /** What a call has shown of the health of its upstream. */
+    /** Update of the health of an upstream after a call. */
     @FunctionalInterface
     private interface Observation {
         UpstreamHealth apply(UpstreamHealth before, long nowNanos);
     }
 
     /**
-     * What a request needs of an upstream.
+     * Requirements of a request on an upstream.
      *
      * @param service the service
-     * @param stage the stage that the upstream must have
-     * @param workMillis the work expected of it
-     * @param otherZoneMillis what an upstream in another availability zone is counted as
-     * @param mayTakeTried whether one that was tried may be taken if there is no other
-     * @param excluded identities that are never taken
-     * @param mostAtOnce the assignments that an upstream may have at once from this instance
-     * @param backlog what else an upstream has to do
+     * @param stage the required stage
+     * @param workMillis the expected work in milliseconds
+     * @param crossZoneMillis the extra cost of an upstream in another availability zone, in
+     *     milliseconds
+     * @param mayTakeTried whether an upstream that was tried may be chosen if there is no other
+     * @param excluded the ids of upstreams that are never chosen
+     * @param maxAssignments the maximum number of concurrent assignments of this instance to an
+     *     upstream
+     * @param backlog the estimator of the backlog of an upstream
      */
     record Need(
             String service,
             Stage stage,
             double workMillis,
-            double otherZoneMillis,
+            double crossZoneMillis,
             boolean mayTakeTried,
             Set<String> excluded,
-            int mostAtOnce,
+            int maxAssignments,
             Backlog backlog) {
-        /** Needs an upstream that may have any number of assignments at once. */
-        static final int ANY_NUMBER = Integer.MAX_VALUE;
+        /** Value of {@code maxAssignments} that sets no limit. */
+        static final int UNLIMITED = Integer.MAX_VALUE;
     }
 
-    /** Tells what an upstream has to do before it begins with more. Thread-safe. */
+    /** Estimates the work that an upstream has to do before it begins new work. Thread-safe. */
     @FunctionalInterface
     interface Backlog {
-        /** Knows no more than this instance's own work. */
+        /** Counts only the work that this instance has assigned. */
         Backlog OWN = (upstreamId, ownMillis) -> ownMillis;
 
         /**
-         * Estimates the backlog.
+         * Estimates the backlog of an upstream.
          *
-         * @param upstreamId the upstream
-         * @param ownMillis the work that this instance has given it
-         * @return milliseconds
+         * @param upstreamId the id of the upstream
+         * @param ownMillis the work that this instance has assigned to it, in milliseconds
+         * @return the backlog in milliseconds
          */
         double millis(String upstreamId, double ownMillis);
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/ClientRetryDetector.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/ClientRetryDetector.java
@@ -13,108 +13,116 @@
 import org.orchidmount.clock.MonotonicClock;
 
 /**
- * Tells client retries from new requests.
+ * Distinguishes client retries from new requests.
  *
- * <p>Callers state how long they still wait. Those of one route wait about equally long at first,
- * some longer and some less; one that states clearly less than any new request would has been
- * refused before. How much the waits of new requests spread is seen above their median, where no
- * retry is, and is taken to be alike below it in proportion. With waits that spread by 15 in 100, a
- * rule that compares with the longest wait takes nearly all new requests for retries in the end,
- * this one at most 6 in 100 (5,000 requests, ClientRetryDetectorTest). Thread-safe.
+ * <p>Each request states the remaining timeout of its caller. The initial timeouts of the callers
+ * of one route are similar but vary; a request whose timeout is clearly shorter than that of any
+ * new request has been refused before. The variation of initial timeouts is measured above their
+ * median, where there are no retries, and is assumed to be proportionally the same below. With
+ * timeouts that vary by 15 in 100, a rule that compares with the longest timeout eventually takes
+ * nearly all new requests for retries, whereas this rule does so for at most 6 in 100 (5,000
+ * requests, ClientRetryDetectorTest). Thread-safe.
  */
 public final class ClientRetryDetector {
     /**
-     * The share of the shortest wait of new requests below which a request is a retry: the time to
-     * come back is at least 3 s of the sites' 14 s.
+     * Fraction of the shortest initial timeout below which a request is a retry. The retry-after
+     * time is at least 3 s of the sites' 14 s.
      */
-    private static final double FIRST_TRY_SHARE = 0.93;
+    private static final double RETRY_SHARE = 0.93;
 
-    /** Waits of new requests that are remembered of a route. */
+    /** Number of initial timeouts remembered for each route. */
     private static final int SAMPLES = 64;
 
-    /** The quantile that stands for the longest waits, a few in a hundred aside. */
-    private static final double LONG_QUANTILE = 0.95;
+    /** Quantile taken as the longest initial timeout; leaves out outliers. */
+    private static final double UPPER_QUANTILE = 0.95;
 
     /**
-     * How long a stated wait counts: far longer than a caller waits, so that one caller with a long
-     * wait does not make retries of all later ones.
+     * Retention of an initial timeout. It is far longer than any caller's timeout, and its limit
+     * keeps one caller with a long timeout from turning all later requests into retries.
      */
-    private static final Duration WINDOW = Duration.ofMinutes(10);
+    private static final Duration RETENTION = Duration.ofMinutes(10);
 
-    /** So many retries without a new request among them mean that callers wait less now. */
-    private static final int RETRIES_IN_A_ROW = 64;
+    /**
+     * Number of consecutive retries after which callers are assumed to have shortened their initial
+     * timeout.
+     */
+    private static final int MAX_CONSECUTIVE_RETRIES = 64;
 
-    /** Bounds the memory; the map is emptied beyond. Far more routes than a table has. */
+    /**
+     * Maximum number of routes remembered, far more than a table has; the map is emptied beyond, to
+     * bound its memory.
+     */
     private static final int MAX_ROUTES = 10_000;
 
-    private final Map<String, Waits> mWaits = new ConcurrentHashMap<>();
+    private final Map<String, RouteTimeouts> mTimeouts = new ConcurrentHashMap<>();
     private final MonotonicClock mClock;
 
-    private record Sample(long waitNanos, long atNanos) {}
+    private record Sample(long timeoutNanos, long atNanos) {}
 
-    /** The waits of new requests of one route, those that came last at the end. */
-    private static final class Waits {
+    /** Recent initial timeouts of one route, oldest first. */
+    private static final class RouteTimeouts {
         private final Deque<Sample> mSamples = new ArrayDeque<>();
-        private int mRetriesInARow;
+        private int mConsecutiveRetries;
 
-        synchronized boolean isRetry(long waitNanos, long nowNanos) {
-            forgetOld(nowNanos);
-            boolean isRetry = waitNanos < FIRST_TRY_SHARE * shortestNanos();
-            mRetriesInARow = isRetry ? mRetriesInARow + 1 : 0;
-            if (mRetriesInARow > RETRIES_IN_A_ROW) {
+        synchronized boolean isRetry(long timeoutNanos, long nowNanos) {
+            removeExpired(nowNanos);
+            boolean isRetry = timeoutNanos < RETRY_SHARE * lowerBoundNanos();
+            mConsecutiveRetries = isRetry ? mConsecutiveRetries + 1 : 0;
+            if (mConsecutiveRetries > MAX_CONSECUTIVE_RETRIES) {
                 mSamples.clear();
-                mRetriesInARow = 0;
+                mConsecutiveRetries = 0;
                 isRetry = false;
             }
             if (!isRetry) {
-                mSamples.addLast(new Sample(waitNanos, nowNanos));
+                mSamples.addLast(new Sample(timeoutNanos, nowNanos));
             }
             return isRetry;
         }
 
-        private void forgetOld(long nowNanos) {
-            while (!mSamples.isEmpty() && isOld(mSamples.getFirst(), nowNanos)) {
+        private void removeExpired(long nowNanos) {
+            while (!mSamples.isEmpty() && isExpired(mSamples.getFirst(), nowNanos)) {
                 mSamples.removeFirst();
             }
         }
 
-        private boolean isOld(Sample sample, long nowNanos) {
-            return mSamples.size() >= SAMPLES || nowNanos - sample.atNanos() >= WINDOW.toNanos();
+        private boolean isExpired(Sample sample, long nowNanos) {
+            return mSamples.size() >= SAMPLES || nowNanos - sample.atNanos() >= RETENTION.toNanos();
         }
 
-        /** Returns the wait below which new requests are rare; 0 before any was seen. */
-        private double shortestNanos() {
+        /** Returns the timeout below which new requests are rare; 0 before the first request. */
+        private double lowerBoundNanos() {
             if (mSamples.isEmpty()) {
                 return 0;
             }
-            long[] sorted = mSamples.stream().mapToLong(Sample::waitNanos).sorted().toArray();
+            long[] sorted = mSamples.stream().mapToLong(Sample::timeoutNanos).sorted().toArray();
             double median = sorted[sorted.length / 2];
-            double longest = sorted[(int) (LONG_QUANTILE * sorted.length)];
+            double longest = sorted[(int) (UPPER_QUANTILE * sorted.length)];
             return median * median / longest;
         }
     }
 
     /**
-     * Creates a detector that knows no request.
+     * Creates a detector without history.
      *
-     * @param clock the clock
+     * @param clock source of the times of requests
      */
     public ClientRetryDetector(MonotonicClock clock) {
         mClock = clock;
     }
 
     /**
-     * Takes a request into account.
+     * Records a request and returns whether it is a client retry.
      *
-     * @param route its route's name
-     * @param wait how long its caller still waits
-     * @return true if it is a retry
+     * @param route name of the request's route
+     * @param timeout remaining timeout of the caller
+     * @return true if the request is a retry
      */
-    public boolean isRetry(String route, Duration wait) {
-        if (mWaits.size() > MAX_ROUTES) {
-            mWaits.clear();
+    public boolean isRetry(String route, Duration timeout) {
+        if (mTimeouts.size() > MAX_ROUTES) {
+            mTimeouts.clear();
         }
-        return mWaits.computeIfAbsent(route, name -> new Waits())
-                .isRetry(wait.toNanos(), mClock.nanoTime());
+        return mTimeouts
+                .computeIfAbsent(route, name -> new RouteTimeouts())
+                .isRetry(timeout.toNanos(), mClock.nanoTime());
     }
 }
