--- a/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashReports.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/quarantine/CrashReports.java
@@ -218,11 +218,11 @@
         for (CrashRecord record : changed) {
             if (record.isQuarantined()) {
                 LOG.warn(
-                        "request %s quarantined after %d consecutive upstream crashes",
+                        "request %s is quarantined: %d consecutive upstream crashes",
                         record.fingerprint(), record.crashes());
             } else {
                 LOG.info(
-                        "request %s: %d consecutive upstream crashes",
+                        "request %s: %d crashes of upstreams in a row",
                         record.fingerprint(), record.crashes());
             }
             mAnnouncer.announce(record);
