--- a/org.orchidmount.test/src/test/java/org/orchidmount/pacing/UpstreamPausesTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/pacing/UpstreamPausesTest.java
@@ -80,11 +80,11 @@
         states(UPSTREAM, PauseStatement.NONE);
         states(UPSTREAM, new PauseStatement.Unreadable("soon"));
         mClock.advance(Duration.ofMillis((long) (1_000 * (end - again)) - 1));
-        assertThat(mThrottle.excludedUpstreams()).containsExactly("i-1");
+        assertThat(mThrottle.throttledUpstreams()).containsExactly("i-1");
         assertThat(mThrottle.acquire(UPSTREAM, TARGET).isGranted()).isFalse();
         assertThat(mThrottle.recordRefusal(UPSTREAM)).isTrue();
         mClock.advance(Duration.ofMillis(1));
-        assertThat(mThrottle.excludedUpstreams()).isEmpty();
+        assertThat(mThrottle.throttledUpstreams()).isEmpty();
         assertThat(mThrottle.acquire(UPSTREAM, TARGET).isGranted()).isTrue();
         assertThat(mThrottle.recordRefusal(UPSTREAM)).isFalse();
     }
--- a/org.orchidmount.test/src/test/java/org/orchidmount/pacing/UpstreamThrottleTest.java
+++ b/org.orchidmount.test/src/test/java/org/orchidmount/pacing/UpstreamThrottleTest.java
@@ -96,7 +96,7 @@
             assertThat(take()).isTrue();
         }
         assertThat(mOwner.mAsked).isEqualTo(0);
-        assertThat(mThrottle.excludedUpstreams()).isEmpty();
+        assertThat(mThrottle.throttledUpstreams()).isEmpty();
     }
 
     @Test
@@ -104,11 +104,11 @@
         names(UPSTREAM, 4);
         takeAll();
         int asked = mOwner.mAsked;
-        assertThat(mThrottle.excludedUpstreams()).containsExactly("i-1");
+        assertThat(mThrottle.throttledUpstreams()).containsExactly("i-1");
         assertThat(take()).isFalse();
         assertThat(mOwner.mAsked).isEqualTo(asked);
         mClock.advance(Duration.ofMillis(600));
-        assertThat(mThrottle.excludedUpstreams()).isEmpty();
+        assertThat(mThrottle.throttledUpstreams()).isEmpty();
         assertThat(take()).isTrue();
     }
 
@@ -141,7 +141,7 @@
         names(UPSTREAM, 1);
         takeAll();
         names(UPSTREAM, 50);
-        assertThat(mThrottle.excludedUpstreams()).isEmpty();
+        assertThat(mThrottle.throttledUpstreams()).isEmpty();
         mClock.advance(Duration.ofMillis(100));
         assertThat(take()).isTrue();
         observe(UPSTREAM, LimitStatement.NONE, true);
@@ -155,13 +155,13 @@
     void aChangeThatAnotherInstanceTellsCountsAtOnce(double perSecond) throws InterruptedException {
         names(UPSTREAM, 0.25);
         takeAll();
-        assertThat(mThrottle.excludedUpstreams()).containsExactly("i-1");
+        assertThat(mThrottle.throttledUpstreams()).containsExactly("i-1");
         OptionalDouble told =
                 Double.isInfinite(perSecond)
                         ? OptionalDouble.empty()
                         : OptionalDouble.of(perSecond);
         mLimits.merge(List.of(new UpstreamLimit(UPSTREAM, told, 2, "there")));
-        assertThat(mThrottle.excludedUpstreams()).isEmpty();
+        assertThat(mThrottle.throttledUpstreams()).isEmpty();
         mClock.advance(Duration.ofMillis(100));
         assertThat(take()).isTrue();
     }
@@ -240,7 +240,7 @@
                         Registration.Stage.NONE,
                         Registration.State.READY,
                         1));
-        assertThat(mThrottle.excludedUpstreams()).isEmpty();
+        assertThat(mThrottle.throttledUpstreams()).isEmpty();
         assertThat(mLimits.isEmpty()).isTrue();
         assertThat(mThrottle.acquire(next, TARGET).isGranted()).isTrue();
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamThrottle.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/pacing/UpstreamThrottle.java
@@ -265,7 +265,7 @@
     }
 
     /**
-     * Returns the time until the first of several upstreams is no longer excluded.
+     * Returns the time until the first of several upstreams is no longer throttled.
      *
      * @param upstreams incarnations, at least one
      * @return time until then; zero if one is available now
@@ -307,12 +307,12 @@
     }
 
     /**
-     * Returns the upstreams that are excluded now, because they are paused or have reached their
+     * Returns the upstreams that are throttled now, because they are paused or have reached their
      * limit.
      *
      * @return identities of the upstreams
      */
-    public Set<String> excludedUpstreams() {
+    public Set<String> throttledUpstreams() {
         Set<String> paused = mPauses.paused();
         if (mExhausted.isEmpty()) {
             return paused;
@@ -327,7 +327,7 @@
     }
 
     /**
-     * Returns the retry time for a caller that was refused because all upstreams are excluded: the
+     * Returns the retry time for a caller that was refused because all upstreams are throttled: the
      * time until the first of them accepts work, after all callers that this instance refused
      * earlier.
      *
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/AttemptRunner.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/AttemptRunner.java
@@ -160,7 +160,7 @@
             mLastFailure = "the upstream has restarted";
             return AttemptOutcome.NOT_REACHED;
         }
-        if (mContext.upstreamLimits().isPaused(assignment.incarnation())) {
+        if (mContext.throttle().isPaused(assignment.incarnation())) {
             mLastFailure = "the upstream has asked for a pause since it was chosen";
             return AttemptOutcome.NOT_REACHED;
         }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/EnginePlacer.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/EnginePlacer.java
@@ -169,7 +169,7 @@
     }
 
     private boolean areAllThrottled() {
-        Set<String> throttled = mContext.upstreamLimits().excludedUpstreams();
+        Set<String> throttled = mContext.throttle().throttledUpstreams();
         return mContext.areAllThrottled(mService.name(), Stage.DECODE, throttled);
     }
 
@@ -181,8 +181,7 @@
         List<Incarnation> engines = mContext.upstreams().available(mService.name(), Stage.DECODE);
         return engines.isEmpty()
                 || mIsThrottled
-                        && mContext.upstreamLimits().untilAnyAvailable(engines).toNanos()
-                                > waitNanos;
+                        && mContext.throttle().untilAnyAvailable(engines).toNanos() > waitNanos;
     }
 
     /**
@@ -297,7 +296,7 @@
     private Set<String> excluded(PrefillRule.Choice choice) {
         Set<String> excluded = new HashSet<>(saturatedEngines());
         excluded.addAll(mContext.upstreams().avoided(mService.name(), Stage.DECODE));
-        excluded.addAll(mContext.upstreamLimits().excludedUpstreams());
+        excluded.addAll(mContext.throttle().throttledUpstreams());
         if (choice == PrefillRule.Choice.UNSPLIT_IF_IDLE) {
             excluded.addAll(
                     mContext.upstreams()
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Prefiller.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Prefiller.java
@@ -121,7 +121,7 @@
                 engineSpeed().prefillEngineMillis(mPrompt.tokens()),
                 UpstreamCost.CROSS_ZONE_ENGINE_MILLIS,
                 false,
-                mContext.upstreamLimits().excludedUpstreams(),
+                mContext.throttle().throttledUpstreams(),
                 mContext.maxAssignments(mService),
                 this::backlogMillis);
     }
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/Relay.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/Relay.java
@@ -35,7 +35,7 @@
      * @param loads the sequences in flight at engines
      * @param announcer announces sequences to the other instances
      * @param crashReports the reports of requests that crash upstreams
-     * @param upstreamLimits the limits and pauses that upstreams state
+     * @param throttle the limits and pauses that upstreams state
      * @param connections connections to upstreams
      * @param protocol the protocol of the upstreams
      * @param clock the clock
@@ -47,7 +47,7 @@
             EngineLoads loads,
             SequenceAnnouncer announcer,
             CrashReports crashReports,
-            UpstreamThrottle upstreamLimits,
+            UpstreamThrottle throttle,
             HttpConnections connections,
             UpstreamProtocol protocol,
             MonotonicClock clock) {
@@ -62,14 +62,14 @@
                         loads,
                         announcer,
                         crashReports,
-                        upstreamLimits,
+                        throttle,
                         connections,
                         protocol,
                         clock);
         upstreams.setObserver(
                 registration -> {
                     crashReports.registered(registration);
-                    upstreamLimits.registered(registration);
+                    throttle.registered(registration);
                 });
     }
 
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RelayContext.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RelayContext.java
@@ -47,7 +47,7 @@
  * @param loads the sequences in flight at engines
  * @param announcer announces sequences to the other instances
  * @param crashReports the reports of requests that crash upstreams
- * @param upstreamLimits the limits and pauses that upstreams state
+ * @param throttle the limits and pauses that upstreams state
  * @param connections connections to upstreams
  * @param protocol the protocol of the upstreams
  * @param clock the clock
@@ -62,7 +62,7 @@
         EngineLoads loads,
         SequenceAnnouncer announcer,
         CrashReports crashReports,
-        UpstreamThrottle upstreamLimits,
+        UpstreamThrottle throttle,
         HttpConnections connections,
         UpstreamProtocol protocol,
         MonotonicClock clock) {
@@ -114,7 +114,7 @@
         if (statement.isEmpty()) {
             return;
         }
-        upstreamLimits.observe(assignment.incarnation(), statement.get(), hasServed, sentNanos);
+        throttle.observe(assignment.incarnation(), statement.get(), hasServed, sentNanos);
         if (statement.get().isLeaving()) {
             upstreams.markLeaving(assignment);
         }
@@ -128,7 +128,7 @@
     int maxAssignments(Service service) {
         return service.maxConnections().isEmpty()
                 ? UpstreamDirectory.Need.UNLIMITED
-                : upstreamLimits.localShare(service.maxConnections().getAsInt());
+                : throttle.localShare(service.maxConnections().getAsInt());
     }
 
     /**
@@ -140,7 +140,7 @@
     Optional<SendPermit> acquirePermit(Assignment assignment, RelayRequest request)
             throws InterruptedException {
         SendPermit permit =
-                upstreamLimits.acquire(assignment.incarnation(), request.route().targetLatency());
+                throttle.acquire(assignment.incarnation(), request.route().targetLatency());
         if (permit.isGranted()) {
             return Optional.of(permit);
         }
@@ -153,7 +153,7 @@
      * attributed to that and does not affect its health.
      */
     void refused(Assignment assignment) {
-        if (!upstreamLimits.recordRefusal(assignment.incarnation())) {
+        if (!throttle.recordRefusal(assignment.incarnation())) {
             upstreams.refused(assignment);
         }
     }
@@ -163,7 +163,7 @@
      * #refused}.
      */
     void refusedDespiteReservation(Assignment assignment) {
-        if (!upstreamLimits.recordRefusal(assignment.incarnation())) {
+        if (!throttle.recordRefusal(assignment.incarnation())) {
             upstreams.refusedDespiteReservation(assignment);
         }
     }
@@ -189,8 +189,8 @@
      * long as most pauses.
      */
     void release(Assignment assignment, HttpHead head) {
-        if (upstreamLimits.isPaused(assignment.incarnation())) {
-            upstreamLimits.countHeldBack();
+        if (throttle.isPaused(assignment.incarnation())) {
+            throttle.countHeldBack();
             return;
         }
         Thread.ofVirtual().name("release").start(() -> sendRelease(assignment, head));
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/RequestRelay.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/RequestRelay.java
@@ -191,7 +191,7 @@
 
     /** Tries to acquire a permit for one upstream after another, each once. */
     private Optional<Placement> placeAtPlainService() throws InterruptedException {
-        Set<String> throttled = new HashSet<>(mContext.upstreamLimits().excludedUpstreams());
+        Set<String> throttled = new HashSet<>(mContext.throttle().throttledUpstreams());
         mIsThrottled = false;
         while (true) {
             Optional<Assignment> assignment = mContext.upstreams().assign(need(throttled), mTried);
@@ -233,7 +233,7 @@
                     outcome == AttemptOutcome.ENDED || outcome == AttemptOutcome.MAY_HAVE_RUN;
             boolean prefilledByUpstream = cache.isEmpty() && isAnswered && mAttempts.hasResponse();
             if (outcome == AttemptOutcome.NOT_REACHED && placement.reservation().isEmpty()) {
-                mContext.upstreamLimits().refund(placement.permit());
+                mContext.throttle().refund(placement.permit());
             }
             mReporter.recordAttempt(placement.assignment().id(), prefilledByUpstream);
             mEngines.ifPresent(engines -> releaseOrMarkUsed(engines, placement, outcome));
@@ -311,7 +311,7 @@
         return mIsThrottled
                 || mEngines.map(EnginePlacer::isThrottled).orElse(false)
                 || mContext.areAllThrottled(
-                        mService.name(), stage(), mContext.upstreamLimits().excludedUpstreams());
+                        mService.name(), stage(), mContext.throttle().throttledUpstreams());
     }
 
     private Stage stage() {
@@ -340,7 +340,7 @@
         List<Incarnation> upstreams = mContext.upstreams().available(mService.name(), stage());
         if (mIsThrottled && !upstreams.isEmpty()) {
             Duration delay =
-                    mContext.upstreamLimits()
+                    mContext.throttle()
                             .retryAfter(
                                     mService.name(),
                                     upstreams,
--- a/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamDirectory.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/relay/UpstreamDirectory.java
@@ -44,7 +44,10 @@
 public final class UpstreamDirectory {
     private static final PartLog LOG = PartLog.of("upstreams");
 
-    /** Upstreams beyond which those that have left are forgotten; half the target's. */
+    /**
+     * Upstreams beyond which those that have left are forgotten; half the number of upstreams for
+     * which the system is designed.
+     */
     private static final int REMOVAL_THRESHOLD = 4_096;
 
     /**
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/EngineSpeed.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/EngineSpeed.java
@@ -6,7 +6,7 @@
 package org.orchidmount.routing;
 
 /**
- * Measured speed of the engines of one service, as used by every rule about engines. Immutable.
+ * Observed speed of the engines of one service, as used by every rule about engines. Immutable.
  *
  * @param prefillMillisPerToken time that a prefill engine takes for each token of its queue
  * @param decodePrefillMillisPerToken the same for a decode engine, which interleaves prefill with
--- a/org.orchidmount/src/main/java/org/orchidmount/routing/MemoryForecast.java
+++ b/org.orchidmount/src/main/java/org/orchidmount/routing/MemoryForecast.java
@@ -19,8 +19,8 @@
  */
 public final class MemoryForecast {
     /**
-     * Standard deviation of the logarithm of the output length around its estimate; 0.38 in
-     * recorded traffic.
+     * Standard deviation of the logarithm of the output length around its estimate; the observed
+     * value is 0.38.
      */
     private static final double LENGTH_DEVIATION = 0.4;
 
